--- a/include/foxtailwheel/routing/LoadEstimate.h
+++ b/include/foxtailwheel/routing/LoadEstimate.h
@@ -7,49 +7,51 @@
 
 namespace foxtailwheel::routing {
 
-/// @brief What a backend server says about its own load.
+/// @brief Load that a backend server reports.
 struct LoadReport {
-    std::uint32_t running = 0; ///< Calls being worked on.
-    std::uint32_t queued = 0; ///< Calls waiting at the server.
-    TimePoint measuredAt; ///< When it was measured, on this instance's clock.
+    std::uint32_t running = 0; ///< Calls in execution.
+    std::uint32_t queued = 0; ///< Calls in the queue of the server.
+    TimePoint measuredAt; ///< Time of the measurement by the clock of this instance.
 };
 
-/// @brief Estimate of the calls at one backend server: own calls are exact, those of others come from lagging reports.
+/// @brief Estimated number of calls at one backend server. Calls of this instance are counted exactly; calls of other
+/// instances are derived from load reports, which arrive late.
 class LoadEstimate {
 public:
-    /// @brief An own call was sent.
-    void started(TimePoint now);
-    /// @brief An own call ended.
-    void finished(TimePoint now);
-    /// @brief Takes a report; one older than the last is ignored.
-    void report(const LoadReport& report);
-    /// @brief Own calls in progress.
-    std::uint32_t own() const { return m_own; }
-    /// @brief Calls of other instances at the time of the last report.
-    double others() const { return m_others; }
-    /// @brief When the last report was measured.
+    /// @brief Counts a call that this instance sent to the server.
+    void onCallStarted(TimePoint now);
+    /// @brief Removes a call of this instance that ended from the count.
+    void onCallEnded(TimePoint now);
+    /// @brief Applies a load report; a report that is not newer than the last is ignored.
+    void onReport(const LoadReport& report);
+    /// @brief Returns the calls of this instance in progress.
+    std::uint32_t ownCalls() const { return m_ownCalls; }
+    /// @brief Returns the calls of other instances at the time of the last report.
+    double otherCalls() const { return m_otherCalls; }
+    /// @brief Returns the measurement time of the last report.
     TimePoint reportedAt() const { return m_reportedAt; }
-    /// @brief Calls of all instances as last reported.
-    double reported() const { return m_reported; }
-    /// @brief Calls at the server now, this instance's included.
-    double total() const { return m_others + m_own; }
+    /// @brief Returns the calls of all instances according to the last report.
+    double reportedCalls() const { return m_reportedCalls; }
+    /// @brief Returns the estimated calls at the server now, including those of this instance.
+    double totalCalls() const { return m_otherCalls + m_ownCalls; }
 
 private:
     struct Sample {
         TimePoint at;
-        std::uint32_t own = 0;
+        std::uint32_t ownCalls = 0;
     };
 
     static constexpr std::size_t historyLength = 64;
 
-    void remember(TimePoint now);
-    std::uint32_t ownAt(TimePoint at) const;
+    void recordSample(TimePoint now);
+    std::uint32_t ownCallsAt(TimePoint at) const;
 
-    std::vector<Sample> m_history; ///< Empty until the first own call, since most servers of a large pool get none.
-    std::size_t m_next = 0;
-    std::uint32_t m_own = 0;
-    double m_others = 0;
-    double m_reported = 0;
+    std::vector<Sample>
+        m_history; ///< Ring buffer; allocated on the first call, since most servers of a large pool receive none.
+    std::size_t m_nextSample = 0;
+    std::uint32_t m_ownCalls = 0;
+    double m_otherCalls = 0;
+    double m_reportedCalls = 0;
     TimePoint m_reportedAt {};
 };
 
--- /dev/null
+++ b/include/foxtailwheel/routing/ServerHealth.h
@@ -0,0 +1,42 @@
+#pragma once
+
+#include "foxtailwheel/base/Units.h"
+
+#include <cstdint>
+
+namespace foxtailwheel::routing {
+
+/// @brief Outcome of a call, as evidence of the health of its backend server.
+enum class CallSign {
+    Good, ///< The server responded.
+    Unreachable, ///< The connection could not be established.
+    Broken, ///< The connection closed early or timed out, or the server returned an error.
+    Busy, ///< The server rejected the call before starting it.
+};
+
+/// @brief Passive health check (outlier detection) of one backend server.
+///
+/// The server becomes suspected after one failed connection attempt or two consecutive failed calls. After a backoff,
+/// which doubles with each failed probe, it receives one call at a time as a probe. Two successful calls make it
+/// healthy again.
+class ServerHealth {
+public:
+    /// @brief Updates the state with the outcome of a call.
+    void onCallEnded(CallSign sign, TimePoint now);
+    /// @brief Returns true if a call can be sent to the server now.
+    /// @param ownCalls Calls of this instance in progress at the server.
+    bool isUsable(TimePoint now, std::uint32_t ownCalls) const;
+    /// @brief Returns true while the server is suspected, also during probes.
+    bool isSuspected() const { return m_suspected; }
+
+private:
+    void markSuspected(TimePoint now);
+
+    bool m_suspected = false;
+    std::uint32_t m_consecutiveFailures = 0;
+    std::uint32_t m_consecutiveSuccesses = 0;
+    TimePoint m_nextProbeAt {};
+    Duration m_backoff {};
+};
+
+} // namespace foxtailwheel::routing
--- a/include/foxtailwheel/routing/ServerPool.h
+++ b/include/foxtailwheel/routing/ServerPool.h
@@ -2,10 +2,10 @@
 
 #include "foxtailwheel/base/Ids.h"
 #include "foxtailwheel/config/Declarations.h"
-#include "foxtailwheel/routing/ChoicePolicy.h"
-#include "foxtailwheel/routing/Health.h"
+#include "foxtailwheel/routing/LoadBalancingPolicy.h"
 #include "foxtailwheel/routing/LoadEstimate.h"
 #include "foxtailwheel/routing/PrefixIndex.h"
+#include "foxtailwheel/routing/ServerHealth.h"
 
 #include <map>
 #include <memory>
@@ -15,46 +15,46 @@
 
 namespace foxtailwheel::routing {
 
-/// @brief How a pool is used by one instance.
+/// @brief Settings of a server pool on one instance.
 struct PoolOptions {
     InstanceId self;
     AvailabilityZoneId zone;
-    std::size_t subsetSize = 32; ///< Most servers that this instance sends to.
-    ChoicePolicyKind policy = ChoicePolicyKind::ExpectedFinish;
+    std::size_t subsetSize = 32; ///< Maximum number of servers that this instance sends calls to.
+    ChoicePolicyKind policy = ChoicePolicyKind::LeastExpectedTime;
     bool prefixAffinity = true;
     std::uint64_t seed = 1;
 };
 
-/// @brief A call that needs a backend server.
+/// @brief Requirements of a call that is to be sent to a backend server.
 struct PlacementRequest {
-    std::optional<PrefixHash> prefix; ///< Leading part of the prompt, for model engines.
-    std::vector<BackendServerId> avoid = {}; ///< Servers that this stage was sent to already.
-    bool careful = false; ///< True for calls that must not be used to try a suspected server.
+    std::optional<PrefixHash> prefix; ///< Prefix of the prompt, for model engines.
+    std::vector<BackendServerId> avoid = {}; ///< Servers of earlier attempts; used only if there is no other.
+    bool careful = false; ///< True for calls that must not be used to probe a suspected server.
     std::optional<std::uint32_t> mostOwnCalls
-        = std::nullopt; ///< Servers with as many own calls in progress are left out.
+        = std::nullopt; ///< Excludes servers with this many calls of this instance in progress.
     std::optional<std::uint64_t> affinity
-        = std::nullopt; ///< Calls of the same value prefer the same server on all instances.
-    std::optional<Duration> longest = std::nullopt; ///< Servers that would take longer are left out.
+        = std::nullopt; ///< Hash key; calls with the same key prefer the same server on all instances.
+    std::optional<Duration> longest = std::nullopt; ///< Excludes servers with a longer expected time.
     std::optional<AvailabilityZoneId> zone
-        = std::nullopt; ///< Servers there are preferred where they are as idle as others.
+        = std::nullopt; ///< Limits the choice to usable servers in this zone, if there are any.
 };
 
-/// @brief Where a call goes.
+/// @brief Server chosen for a call.
 struct Placement {
     config::BackendServer server;
-    Cost linkCost; ///< Price of the link between the zones.
-    Duration expected {}; ///< Expected time until the answer.
+    Cost linkCost; ///< Price of the network link to the zone of the server.
+    Duration expected {}; ///< Expected time from sending the call to its response.
     bool crossesZone = false;
 };
 
-/// @brief How a call ended, as far as routing is concerned.
+/// @brief Outcome and latency of a call.
 struct CallReport {
     CallSign sign = CallSign::Good;
-    Duration time {}; ///< From sending to the end of the answer; used where `sign` is `Good`.
+    Duration time {}; ///< From sending the call to the end of its response; used only if `outcome` is `Success`.
     std::optional<PrefixHash> prefix;
 };
 
-/// @brief What operators see of one server.
+/// @brief State of one server for the operator API.
 struct ServerStatus {
     config::BackendServer server;
     double load = 0;
@@ -63,49 +63,51 @@
     bool leaving = false;
     bool inSubset = false;
     Duration callTime {};
-    TimePoint reportedAt {}; ///< When the last load report was measured.
+    TimePoint reportedAt {}; ///< Measurement time of the last load report.
 };
 
-/// @brief The backend servers of one service as one instance sees them; chooses where each call goes.
+/// @brief Backend servers of one service as seen by one instance; chooses a server for each call.
 ///
-/// Thread-safe: one lock for each pool. A choice looks at the instance's subset only, so its cost does not grow
-/// with the pool.
+/// Thread-safe; each pool has one lock. Only the servers of the subset of this instance are considered, so the cost of
+/// a choice does not grow with the size of the pool.
 class ServerPool {
 public:
-    /// @brief Makes the pool of a declared service.
+    /// @brief Creates the pool of a declared service.
     static std::unique_ptr<ServerPool> create(
         const config::Service& service, const config::Declarations& declarations, PoolOptions options);
     ~ServerPool();
     ServerPool(const ServerPool&) = delete;
     ServerPool& operator=(const ServerPool&) = delete;
 
-    /// @brief Takes a new declaration of the service; what is known of servers that stay is kept.
+    /// @brief Applies a new declaration of the service; keeps the state of servers whose address is unchanged.
     void update(const config::Service& service, const config::Declarations& declarations);
-    /// @brief Chooses a server and counts the call as in progress there; empty where no server is usable.
+    /// @brief Chooses a server and counts the call as in progress there; returns an empty value if no server is usable.
     std::optional<Placement> place(const PlacementRequest& request, TimePoint now);
-    /// @brief A placed call ended.
+    /// @brief Records the end of a placed call.
     void ended(const BackendServerId& server, const CallReport& report, TimePoint now);
-    /// @brief A placed call was cancelled `after` it was sent.
+    /// @brief Records that a placed call was cancelled.
+    /// @param after Time from sending to cancellation.
     void cancelled(const BackendServerId& server, Duration after, TimePoint now);
-    /// @brief Takes a load report of a server.
+    /// @brief Applies a load report of a server.
     void reported(const BackendServerId& server, const LoadReport& report);
-    /// @brief Takes a prefix-cache event of a server.
+    /// @brief Applies a prefix cache event of a server.
     void cacheEvent(const BackendServerId& server, const CacheEvent& event);
-    /// @brief Servers that are leaving and get nothing new from now on; replaces the earlier set.
+    /// @brief Sets the servers that are leaving and receive no new calls; replaces the previous set.
     void setLeaving(const std::set<BackendServerId>& leaving);
-    /// @brief Expected time of a call sent now to a typical server of the subset, queueing included.
+    /// @brief Returns the expected time of a call to an average server of the subset, including queueing.
     Duration expectedTime() const;
-    /// @brief Usable servers with fewer own calls than `mostOwnCalls`.
-    std::vector<config::BackendServer> freeServers(std::uint32_t mostOwnCalls, TimePoint now) const;
-    /// @brief Servers that are not leaving, by zone.
+    /// @brief Returns the usable servers of the subset with fewer than `maxOwnCalls` calls of this instance in
+    /// progress.
+    std::vector<config::BackendServer> freeServers(std::uint32_t maxOwnCalls, TimePoint now) const;
+    /// @brief Returns the number of servers that are not leaving, by zone.
     std::map<AvailabilityZoneId, std::size_t> serversByZone() const;
-    /// @brief Quantile of the time of answered calls, or `fallback` before enough were seen.
+    /// @brief Returns a quantile of the time of successful calls, or `fallback` while there are too few samples.
     Duration timeQuantile(double q, Duration fallback) const;
-    /// @brief Calls that all usable servers of the pool work on at once.
+    /// @brief Returns the estimated number of calls that the usable servers of the pool execute concurrently.
     double slots(TimePoint now) const;
-    /// @brief Calls at the servers of the subset over the calls that they work on at once, by the latest estimate.
+    /// @brief Returns the estimated calls at the servers of the subset divided by their total concurrency.
     double busyShare() const;
-    /// @brief The servers for operators.
+    /// @brief Returns the state of all servers for the operator API.
     std::vector<ServerStatus> status() const;
 
 private:
--- a/include/foxtailwheel/routing/Subset.h
+++ b/include/foxtailwheel/routing/Subset.h
@@ -8,14 +8,14 @@
 
 namespace foxtailwheel::routing {
 
-/// @brief Draws the backend servers that one instance uses of a pool.
+/// @brief Selects the backend servers of a pool that one instance sends calls to.
 ///
-/// Each instance takes the servers that weigh most for it by rendezvous hash, those of its own zone first, so a
-/// server or an instance that comes or goes changes only the places it held.
+/// Each instance selects the servers with the greatest rendezvous hash weight, preferring those of its own zone. Adding
+/// or removing a server or an instance therefore changes only the selections that involve it.
 /// @param servers All servers of the pool.
-/// @param size Most servers drawn; the whole pool where it is no larger.
-/// @return Positions in `servers`, in ascending order.
-std::vector<std::size_t> drawSubset(const std::vector<config::BackendServer>& servers, const InstanceId& self,
+/// @param size Maximum size of the subset; a pool that is no larger is selected whole.
+/// @return Indices into `servers` in ascending order.
+std::vector<std::size_t> selectSubset(const std::vector<config::BackendServer>& servers, const InstanceId& self,
     const AvailabilityZoneId& zone, std::size_t size);
 
 } // namespace foxtailwheel::routing
--- a/src/foxtailwheel/routing/ChoicePolicy.cpp
+++ b/src/foxtailwheel/routing/LoadBalancingPolicy.cpp
@@ -1,4 +1,4 @@
-#include "foxtailwheel/routing/ChoicePolicy.h"
+#include "foxtailwheel/routing/LoadBalancingPolicy.h"
 
 #include <algorithm>
 
@@ -6,35 +6,35 @@
 
 namespace {
 
-    /// Picks the least expected finish, price included. Near ties go to the own zone, and are drawn at random, so that
-    /// instances which see the same reports do not all run to the same server.
-    class ExpectedFinish final : public ChoicePolicy {
+    /// Picks the server with the least expected time, price included. Near ties prefer the local zone and are broken at
+    /// random, so that instances that received the same load reports do not all choose the same server.
+    class LeastExpectedTime final : public LoadBalancingPolicy {
     public:
         std::size_t pick(std::span<const Candidate> candidates, Random& random) override
         {
-            double best = worth(candidates[0]);
+            double least = totalSeconds(candidates[0]);
             for (const auto& it : candidates)
-                best = std::min(best, worth(it));
-            const auto near = [best](const Candidate& it) { return worth(it) <= best * tieShare; };
+                least = std::min(least, totalSeconds(it));
+            const auto isNearTie = [least](const Candidate& it) { return totalSeconds(it) <= least * nearTieRatio; };
             const bool anyLocal = std::any_of(
-                candidates.begin(), candidates.end(), [&](const Candidate& it) { return it.isLocal && near(it); });
+                candidates.begin(), candidates.end(), [&](const Candidate& it) { return it.isLocal && isNearTie(it); });
             std::size_t picked = 0;
-            std::uint64_t ties = 0;
+            std::uint64_t eligibleCount = 0;
             for (std::size_t i = 0; i < candidates.size(); ++i) {
-                const bool wanted = near(candidates[i]) && (candidates[i].isLocal || !anyLocal);
-                if (wanted && random.below(++ties) == 0)
+                const bool eligible = isNearTie(candidates[i]) && (candidates[i].isLocal || !anyLocal);
+                if (eligible && random.below(++eligibleCount) == 0)
                     picked = i;
             }
             return picked;
         }
 
     private:
-        static constexpr double tieShare = 1.05;
+        static constexpr double nearTieRatio = 1.05;
 
-        static double worth(const Candidate& it) { return it.expectedSeconds + it.costSeconds; }
+        static double totalSeconds(const Candidate& it) { return it.expectedSeconds + it.costSeconds; }
     };
 
-    class RoundRobin final : public ChoicePolicy {
+    class RoundRobin final : public LoadBalancingPolicy {
     public:
         std::size_t pick(std::span<const Candidate> candidates, Random& /*random*/) override
         {
@@ -45,7 +45,7 @@
         std::size_t m_next = 0;
     };
 
-    class LeastReportedLoad final : public ChoicePolicy {
+    class LeastReportedLoad final : public LoadBalancingPolicy {
     public:
         std::size_t pick(std::span<const Candidate> candidates, Random& /*random*/) override
         {
@@ -55,7 +55,7 @@
         }
     };
 
-    class PowerOfTwo final : public ChoicePolicy {
+    class PowerOfTwo final : public LoadBalancingPolicy {
     public:
         std::size_t pick(std::span<const Candidate> candidates, Random& random) override
         {
@@ -67,7 +67,7 @@
 
 } // namespace
 
-std::unique_ptr<ChoicePolicy> makeChoicePolicy(ChoicePolicyKind kind)
+std::unique_ptr<LoadBalancingPolicy> makeLoadBalancingPolicy(ChoicePolicyKind kind)
 {
     switch (kind) {
     case ChoicePolicyKind::RoundRobin:
@@ -76,10 +76,10 @@
         return std::make_unique<LeastReportedLoad>();
     case ChoicePolicyKind::PowerOfTwo:
         return std::make_unique<PowerOfTwo>();
-    case ChoicePolicyKind::ExpectedFinish:
+    case ChoicePolicyKind::LeastExpectedTime:
         break;
     }
-    return std::make_unique<ExpectedFinish>();
+    return std::make_unique<LeastExpectedTime>();
 }
 
 } // namespace foxtailwheel::routing
--- a/src/foxtailwheel/routing/PrefixIndex.cpp
+++ b/src/foxtailwheel/routing/PrefixIndex.cpp
@@ -6,8 +6,10 @@
 
 namespace {
 
-    constexpr double gapTrust = 0.7;
-    constexpr double trustRecovery = 0.02;
+    /// Factor on the confidence for each gap in the sequence of events.
+    constexpr double gapConfidenceFactor = 0.7;
+    /// Confidence regained with each event that arrives in sequence.
+    constexpr double confidenceRecovery = 0.02;
 
 } // namespace
 
@@ -16,40 +18,40 @@
 {
 }
 
-void PrefixIndex::used(PrefixHash prefix)
+void PrefixIndex::onPrefixUsed(PrefixHash prefix)
 {
-    forget(prefix);
-    m_recent.push_front(prefix);
-    m_places[prefix] = m_recent.begin();
-    if (m_places.size() > m_capacity)
-        forget(m_recent.back());
+    erase(prefix);
+    m_lruList.push_front(prefix);
+    m_entries[prefix] = m_lruList.begin();
+    if (m_entries.size() > m_capacity)
+        erase(m_lruList.back());
 }
 
-void PrefixIndex::forget(PrefixHash prefix)
+void PrefixIndex::erase(PrefixHash prefix)
 {
-    const auto it = m_places.find(prefix);
-    if (it == m_places.end())
+    const auto it = m_entries.find(prefix);
+    if (it == m_entries.end())
         return;
-    m_recent.erase(it->second);
-    m_places.erase(it);
+    m_lruList.erase(it->second);
+    m_entries.erase(it);
 }
 
-void PrefixIndex::event(const CacheEvent& event)
+void PrefixIndex::onCacheEvent(const CacheEvent& event)
 {
     if (event.sequence <= m_lastSequence)
         return;
-    const bool gap = m_lastSequence != 0 && event.sequence != m_lastSequence + 1;
-    m_trust = gap ? m_trust * gapTrust : std::min(1.0, m_trust + trustRecovery);
+    const bool hasGap = m_lastSequence != 0 && event.sequence != m_lastSequence + 1;
+    m_confidence = hasGap ? m_confidence * gapConfidenceFactor : std::min(1.0, m_confidence + confidenceRecovery);
     m_lastSequence = event.sequence;
     if (event.evicted)
-        forget(event.prefix);
+        erase(event.prefix);
     else
-        used(event.prefix);
+        onPrefixUsed(event.prefix);
 }
 
-double PrefixIndex::confidence(PrefixHash prefix) const
+double PrefixIndex::hitProbability(PrefixHash prefix) const
 {
-    return m_places.contains(prefix) ? m_trust : 0;
+    return m_entries.contains(prefix) ? m_confidence : 0;
 }
 
 } // namespace foxtailwheel::routing
--- a/src/foxtailwheel/routing/RoutingTest.cpp
+++ b/src/foxtailwheel/routing/RoutingTest.cpp
@@ -10,16 +10,16 @@
 using namespace foxtailwheel;
 using namespace std::chrono_literals;
 using routing::CallSign;
-using routing::Health;
 using routing::LoadEstimate;
 using routing::PlacementRequest;
 using routing::PrefixIndex;
+using routing::ServerHealth;
 
 namespace {
 
 constexpr TimePoint start { 1h };
 
-std::unique_ptr<routing::ServerPool> poolOf(std::size_t servers)
+std::unique_ptr<routing::ServerPool> makePool(std::size_t servers)
 {
     const auto service = testing::serviceOf("encode", config::ServiceKind::Encoder, servers);
     routing::PoolOptions options;
@@ -30,156 +30,157 @@
 
 } // namespace
 
-Test(LoadEstimate, ownCallsAreTakenOutOfReports)
+Test(LoadEstimate, ownCallsAreSubtractedFromReports)
 {
     LoadEstimate load;
     TimePoint now = start;
     for (int i = 0; i < 5; ++i, now += 200ms)
-        load.started(now);
-    load.report({ 8, 2, now });
-    cr_assert_float_eq(load.others(), 5, 1e-9);
-    cr_assert_float_eq(load.total(), 10, 1e-9);
-    load.report({ 99, 0, now - 1s });
-    cr_assert_float_eq(load.others(), 5, 1e-9);
+        load.onCallStarted(now);
+    load.onReport({ 8, 2, now });
+    cr_assert_float_eq(load.otherCalls(), 5, 1e-9);
+    cr_assert_float_eq(load.totalCalls(), 10, 1e-9);
+    load.onReport({ 99, 0, now - 1s });
+    cr_assert_float_eq(load.otherCalls(), 5, 1e-9);
 }
 
-Test(Health, isQuickToSuspectAndCarefulToReturn)
+Test(ServerHealth, suspectsAfterTwoFailuresAndRecoversAfterTwoSuccesses)
 {
-    Health health;
-    health.observe(CallSign::Broken, start);
-    cr_assert(health.usable(start, 3));
-    health.observe(CallSign::Broken, start);
-    cr_assert(!health.usable(start, 0));
-    cr_assert(health.usable(start + 1s, 0));
-    cr_assert(!health.usable(start + 1s, 1));
-    health.observe(CallSign::Good, start + 1s);
-    cr_assert(health.suspected());
-    health.observe(CallSign::Good, start + 1s);
-    cr_assert(!health.suspected());
+    ServerHealth health;
+    health.onCallEnded(CallSign::Broken, start);
+    cr_assert(health.isUsable(start, 3));
+    health.onCallEnded(CallSign::Broken, start);
+    cr_assert(!health.isUsable(start, 0));
+    cr_assert(health.isUsable(start + 1s, 0));
+    cr_assert(!health.isUsable(start + 1s, 1));
+    health.onCallEnded(CallSign::Good, start + 1s);
+    cr_assert(health.isSuspected());
+    health.onCallEnded(CallSign::Good, start + 1s);
+    cr_assert(!health.isSuspected());
 }
 
-Test(Health, theBreakGrowsWithEachFailedTrial)
+Test(ServerHealth, backoffDoublesWithEachFailedProbe)
 {
-    Health health;
-    health.observe(CallSign::Unreachable, start);
-    cr_assert(health.usable(start + 600ms, 0));
-    health.observe(CallSign::Unreachable, start + 600ms);
-    cr_assert(!health.usable(start + 1400ms, 0));
-    cr_assert(health.usable(start + 1700ms, 0));
+    ServerHealth health;
+    health.onCallEnded(CallSign::Unreachable, start);
+    cr_assert(health.isUsable(start + 600ms, 0));
+    health.onCallEnded(CallSign::Unreachable, start + 600ms);
+    cr_assert(!health.isUsable(start + 1400ms, 0));
+    cr_assert(health.isUsable(start + 1700ms, 0));
 }
 
-Test(Health, aBusyServerIsNotSuspected)
+Test(ServerHealth, rejectedCallsDoNotMakeAServerSuspected)
 {
-    Health health;
+    ServerHealth health;
     for (int i = 0; i < 10; ++i)
-        health.observe(CallSign::Busy, start);
-    cr_assert(!health.suspected());
+        health.onCallEnded(CallSign::Busy, start);
+    cr_assert(!health.isSuspected());
 }
 
-Test(PrefixIndex, gapsLowerTheTrust)
+Test(PrefixIndex, sequenceGapsLowerTheHitProbability)
 {
     PrefixIndex index;
-    index.event({ 1, 42, false });
-    const double before = index.confidence(42);
-    index.event({ 5, 43, false });
-    cr_assert_lt(index.confidence(42), before);
-    index.event({ 6, 42, true });
-    cr_assert_float_eq(index.confidence(42), 0, 1e-9);
-    index.event({ 2, 42, false });
-    cr_assert_float_eq(index.confidence(42), 0, 1e-9);
+    index.onCacheEvent({ 1, 42, false });
+    const double before = index.hitProbability(42);
+    index.onCacheEvent({ 5, 43, false });
+    cr_assert_lt(index.hitProbability(42), before);
+    index.onCacheEvent({ 6, 42, true });
+    cr_assert_float_eq(index.hitProbability(42), 0, 1e-9);
+    index.onCacheEvent({ 2, 42, false });
+    cr_assert_float_eq(index.hitProbability(42), 0, 1e-9);
 }
 
-Test(PrefixIndex, forgetsTheLeastRecent)
+Test(PrefixIndex, evictsTheLeastRecentlyUsedPrefix)
 {
     PrefixIndex index(2);
-    index.used(1);
-    index.used(2);
-    index.used(3);
+    index.onPrefixUsed(1);
+    index.onPrefixUsed(2);
+    index.onPrefixUsed(3);
     cr_assert_eq(index.size(), 2U);
-    cr_assert_float_eq(index.confidence(1), 0, 1e-9);
+    cr_assert_float_eq(index.hitProbability(1), 0, 1e-9);
 }
 
-Test(Subset, isEvenAndStable)
+Test(Subset, isBalancedAndStable)
 {
     const auto servers = testing::serviceOf("encode", config::ServiceKind::Encoder, 200).servers;
-    std::map<std::size_t, int> uses;
+    std::map<std::size_t, int> useCount;
     for (int i = 0; i < 200; ++i) {
         const auto zone = AvailabilityZoneId(i % 2 == 0 ? "a" : "b");
-        for (const auto place : routing::drawSubset(servers, InstanceId(std::to_string(i)), zone, 32))
-            ++uses[place];
+        for (const auto index : routing::selectSubset(servers, InstanceId(std::to_string(i)), zone, 32))
+            ++useCount[index];
     }
-    for (const auto& it : uses)
-        cr_assert(it.second > 8 && it.second < 72, "server %zu is used by %d of 200", it.first, it.second);
+    for (const auto& it : useCount)
+        cr_assert(
+            it.second > 8 && it.second < 72, "server %zu is in the subset of %d of 200 instances", it.first, it.second);
     auto fewer = servers;
     fewer.pop_back();
-    const auto before = routing::drawSubset(servers, InstanceId("x"), AvailabilityZoneId("a"), 32);
-    const auto after = routing::drawSubset(fewer, InstanceId("x"), AvailabilityZoneId("a"), 32);
-    std::set<std::size_t> common(before.begin(), before.end());
-    std::size_t kept = 0;
+    const auto before = routing::selectSubset(servers, InstanceId("x"), AvailabilityZoneId("a"), 32);
+    const auto after = routing::selectSubset(fewer, InstanceId("x"), AvailabilityZoneId("a"), 32);
+    std::set<std::size_t> previousSubset(before.begin(), before.end());
+    std::size_t commonCount = 0;
     for (const auto it : after)
-        kept += common.contains(it) ? 1 : 0;
-    cr_assert_geq(kept, 31U);
+        commonCount += previousSubset.contains(it) ? 1 : 0;
+    cr_assert_geq(commonCount, 31U);
 }
 
-Test(ServerPool, prefersTheOwnZoneUntilItIsFull)
+Test(ServerPool, prefersTheLocalZoneUntilItsSlotsAreBusy)
 {
-    const auto pool = poolOf(4);
-    int crossed = 0;
+    const auto pool = makePool(4);
+    int crossZoneCalls = 0;
     for (int i = 0; i < 8; ++i)
-        crossed += pool->place({}, start)->crossesZone ? 1 : 0;
-    cr_assert_eq(crossed, 0);
+        crossZoneCalls += pool->place({}, start)->crossesZone ? 1 : 0;
+    cr_assert_eq(crossZoneCalls, 0);
     for (int i = 0; i < 16; ++i)
-        crossed += pool->place({}, start)->crossesZone ? 1 : 0;
-    cr_assert_geq(crossed, 6);
+        crossZoneCalls += pool->place({}, start)->crossesZone ? 1 : 0;
+    cr_assert_geq(crossZoneCalls, 6);
 }
 
-Test(ServerPool, aLeavingServerGetsNothingNew)
+Test(ServerPool, aLeavingServerReceivesNoNewCalls)
 {
-    const auto pool = poolOf(4);
+    const auto pool = makePool(4);
     const BackendServerId leaving("encode-0");
     pool->setLeaving({ leaving });
     for (int i = 0; i < 100; ++i)
         cr_assert(pool->place({}, start)->server.id != leaving);
 }
 
-Test(ServerPool, avoidsServersThatWereTriedWhereItCan)
+Test(ServerPool, usesAvoidedServersOnlyWithoutAnAlternative)
 {
-    const auto pool = poolOf(2);
+    const auto pool = makePool(2);
     const PlacementRequest request { {}, { BackendServerId("encode-0") }, false };
     for (int i = 0; i < 20; ++i)
         cr_assert(pool->place(request, start)->server.id == BackendServerId("encode-1"));
-    const PlacementRequest all { {}, { BackendServerId("encode-0"), BackendServerId("encode-1") }, false };
-    cr_assert(pool->place(all, start).has_value());
+    const PlacementRequest avoidAll { {}, { BackendServerId("encode-0"), BackendServerId("encode-1") }, false };
+    cr_assert(pool->place(avoidAll, start).has_value());
 }
 
-Test(ServerPool, carefulCallsDoNotTrySuspectedServers)
+Test(ServerPool, healthyOnlyCallsDoNotProbeSuspectedServers)
 {
-    const auto pool = poolOf(1);
+    const auto pool = makePool(1);
     pool->place({}, start);
     pool->ended(BackendServerId("encode-0"), { CallSign::Unreachable, {}, {} }, start);
-    const PlacementRequest careful { {}, {}, true };
-    cr_assert(!pool->place(careful, start + 5s).has_value());
+    const PlacementRequest healthyOnly { {}, {}, true };
+    cr_assert(!pool->place(healthyOnly, start + 5s).has_value());
     cr_assert(pool->place({}, start + 5s).has_value());
 }
 
-Test(ServerPool, aSlowServerIsAvoided)
+Test(ServerPool, aSlowServerReceivesFewCalls)
 {
-    const auto pool = poolOf(4);
+    const auto pool = makePool(4);
     TimePoint now = start;
     const BackendServerId slow("encode-0");
-    int late = 0;
+    int lateSlowCalls = 0;
     for (int i = 0; i < 400; ++i, now += 10ms) {
         const auto placement = pool->place({}, now);
         const bool isSlow = placement->server.id == slow;
-        late += isSlow && i >= 200 ? 1 : 0;
+        lateSlowCalls += isSlow && i >= 200 ? 1 : 0;
         pool->ended(placement->server.id, { CallSign::Good, isSlow ? Duration(100ms) : Duration(10ms), {} }, now);
     }
-    cr_assert_lt(late, 20);
+    cr_assert_lt(lateSlowCalls, 20);
 }
 
-Test(ServerPool, anUpdateKeepsWhatIsKnown)
+Test(ServerPool, anUpdateKeepsCallsInProgress)
 {
-    const auto pool = poolOf(3);
+    const auto pool = makePool(3);
     pool->place({}, start);
     const auto declared = testing::smallDeployment(4);
     pool->update(testing::serviceOf("encode", config::ServiceKind::Encoder, 4), *declared);
--- /dev/null
+++ b/src/foxtailwheel/routing/ServerHealth.cpp
@@ -0,0 +1,52 @@
+#include "foxtailwheel/routing/ServerHealth.h"
+
+#include <algorithm>
+
+namespace foxtailwheel::routing {
+
+namespace {
+
+    using namespace std::chrono_literals;
+
+    constexpr std::uint32_t failuresToSuspect = 2;
+    constexpr std::uint32_t successesToRecover = 2;
+    constexpr Duration initialBackoff = 500ms;
+    constexpr Duration maxBackoff = 16s;
+
+} // namespace
+
+void ServerHealth::markSuspected(TimePoint now)
+{
+    m_backoff = m_suspected ? std::min(m_backoff * 2, maxBackoff) : initialBackoff;
+    m_suspected = true;
+    m_consecutiveSuccesses = 0;
+    m_nextProbeAt = now + m_backoff;
+}
+
+void ServerHealth::onCallEnded(CallSign sign, TimePoint now)
+{
+    switch (sign) {
+    case CallSign::Good:
+        m_consecutiveFailures = 0;
+        if (m_suspected && ++m_consecutiveSuccesses >= successesToRecover)
+            m_suspected = false;
+        return;
+    case CallSign::Unreachable:
+        if (!m_suspected || now >= m_nextProbeAt)
+            markSuspected(now);
+        return;
+    case CallSign::Broken:
+        if (++m_consecutiveFailures >= failuresToSuspect && (!m_suspected || now >= m_nextProbeAt))
+            markSuspected(now);
+        return;
+    case CallSign::Busy:
+        return;
+    }
+}
+
+bool ServerHealth::isUsable(TimePoint now, std::uint32_t ownCalls) const
+{
+    return !m_suspected || (now >= m_nextProbeAt && ownCalls == 0);
+}
+
+} // namespace foxtailwheel::routing
--- a/src/foxtailwheel/routing/Subset.cpp
+++ b/src/foxtailwheel/routing/Subset.cpp
@@ -9,46 +9,48 @@
 
 namespace {
 
-    /// Places that are drawn from the own zone before any other, as a share of the subset.
-    constexpr double localShare = 0.75;
+    /// Fraction of the subset that is filled from the local zone first.
+    constexpr double localZoneFraction = 0.75;
 
-    struct Weighed {
-        std::size_t place;
+    struct WeightedServer {
+        std::size_t index;
         std::uint64_t weight;
     };
 
-    void takeHeaviest(std::vector<Weighed>& from, std::size_t n, std::vector<std::size_t>& to)
+    /// Moves the `count` servers of the greatest weight from `candidates` to `selected`.
+    void moveHeaviest(std::vector<WeightedServer>& candidates, std::size_t count, std::vector<std::size_t>& selected)
     {
-        n = std::min(n, from.size());
-        const auto heavier = [](const Weighed& a, const Weighed& b) { return a.weight > b.weight; };
-        std::partial_sort(from.begin(), from.begin() + static_cast<std::ptrdiff_t>(n), from.end(), heavier);
-        for (std::size_t i = 0; i < n; ++i)
-            to.push_back(from[i].place);
-        from.erase(from.begin(), from.begin() + static_cast<std::ptrdiff_t>(n));
+        count = std::min(count, candidates.size());
+        const auto heavier = [](const WeightedServer& a, const WeightedServer& b) { return a.weight > b.weight; };
+        std::partial_sort(
+            candidates.begin(), candidates.begin() + static_cast<std::ptrdiff_t>(count), candidates.end(), heavier);
+        for (std::size_t i = 0; i < count; ++i)
+            selected.push_back(candidates[i].index);
+        candidates.erase(candidates.begin(), candidates.begin() + static_cast<std::ptrdiff_t>(count));
     }
 
 } // namespace
 
-std::vector<std::size_t> drawSubset(const std::vector<config::BackendServer>& servers, const InstanceId& self,
+std::vector<std::size_t> selectSubset(const std::vector<config::BackendServer>& servers, const InstanceId& self,
     const AvailabilityZoneId& zone, std::size_t size)
 {
-    std::vector<std::size_t> places;
+    std::vector<std::size_t> indices;
     if (servers.size() <= size) {
-        places.resize(servers.size());
-        std::iota(places.begin(), places.end(), std::size_t { 0 });
-        return places;
+        indices.resize(servers.size());
+        std::iota(indices.begin(), indices.end(), std::size_t { 0 });
+        return indices;
     }
-    std::vector<Weighed> local;
-    std::vector<Weighed> remote;
+    std::vector<WeightedServer> local;
+    std::vector<WeightedServer> remote;
     for (std::size_t i = 0; i < servers.size(); ++i) {
         const auto weight = rendezvousWeight(self.value(), servers[i].id.value());
         (servers[i].zone == zone ? local : remote).push_back({ i, weight });
     }
-    takeHeaviest(local, static_cast<std::size_t>(static_cast<double>(size) * localShare), places);
-    takeHeaviest(remote, size - places.size(), places);
-    takeHeaviest(local, size - places.size(), places);
-    std::sort(places.begin(), places.end());
-    return places;
+    moveHeaviest(local, static_cast<std::size_t>(static_cast<double>(size) * localZoneFraction), indices);
+    moveHeaviest(remote, size - indices.size(), indices);
+    moveHeaviest(local, size - indices.size(), indices);
+    std::sort(indices.begin(), indices.end());
+    return indices;
 }
 
 } // namespace foxtailwheel::routing
