--- a/include/foxtailwheel/membership/Member.h
+++ b/include/foxtailwheel/membership/Member.h
@@ -11,37 +11,37 @@
 
 namespace foxtailwheel::membership {
 
-/// @brief What is believed of an instance. Within one incarnation a later value overrides an earlier one.
+/// @brief State of an instance. Within one incarnation a state overrides the states declared before it.
 enum class MemberState : std::uint8_t { Alive, Suspect, Leaving, Dead };
 
 std::string_view toString(MemberState state);
 
-/// @brief One instance as the others know it.
+/// @brief An instance as known to the other instances.
 struct Member {
     InstanceId id;
-    config::Endpoint peers; ///< Where other instances reach it.
+    config::Endpoint peers; ///< Address for messages from other instances.
     AvailabilityZoneId zone;
-    Incarnation incarnation; ///< Grows with each life and with each refuted suspicion.
+    Incarnation incarnation; ///< Increases with each restart and with each refuted suspicion.
     MemberState state = MemberState::Alive;
-    ConfigVersion config; ///< Version in force there, as last heard.
-    float cores = 0; ///< Processor time that it may use; 0 where it is not told.
+    ConfigVersion config; ///< Version in force on the instance, as last received.
+    float cores = 0; ///< Processor cores available to the instance; 0 if unknown.
 
     friend bool operator==(const Member&, const Member&) = default;
 };
 
-/// @brief True where `a` is to replace `b`, which has the same id.
+/// @brief Returns true if `a` is a newer record than `b`, which has the same id.
 bool supersedes(const Member& a, const Member& b);
 
-/// @brief What is known of a backend server that leaves or came back; the highest `sequence` counts.
+/// @brief Record of a backend server that is leaving or has returned; the record with the highest `sequence` wins.
 struct ServerNotice {
     BackendServerId server;
     bool leaving = false;
-    std::uint64_t sequence = 0; ///< Milliseconds of calendar time when it was noticed.
+    std::uint64_t sequence = 0; ///< Time of the change in milliseconds since the Unix epoch.
 
     friend bool operator==(const ServerNotice&, const ServerNotice&) = default;
 };
 
-/// @brief What rides on every message between instances.
+/// @brief Membership updates that are piggybacked on pings and acknowledgements.
 struct Digest {
     Member sender;
     std::vector<Member> members;
@@ -50,19 +50,19 @@
     friend bool operator==(const Digest&, const Digest&) = default;
 };
 
-/// @brief Are you there? With a target: ask it for me.
+/// @brief Probe of the receiver, or a request to the receiver to probe another instance.
 struct Ping {
     std::uint64_t sequence = 0;
-    InstanceId target; ///< Empty for the receiver itself.
+    InstanceId target; ///< Instance to probe; empty for the receiver itself.
     Digest digest;
 
     friend bool operator==(const Ping&, const Ping&) = default;
 };
 
-/// @brief Answer to a ping, or to one asked on another's behalf.
+/// @brief Acknowledgement of a direct or an indirect ping.
 struct Ack {
     std::uint64_t sequence = 0;
-    InstanceId target; ///< The instance that was reached.
+    InstanceId target; ///< The instance that acknowledged the ping.
     Digest digest;
 
     friend bool operator==(const Ack&, const Ack&) = default;
--- a/include/foxtailwheel/membership/Membership.h
+++ b/include/foxtailwheel/membership/Membership.h
@@ -12,117 +12,121 @@
 
 namespace foxtailwheel::membership {
 
-/// @brief Send a ping or an answer to an instance.
+/// @brief Requests that a ping or an acknowledgement is sent to an instance.
 struct SendMessage {
     config::Endpoint to;
     std::variant<Ping, Ack> message;
 };
 
-/// @brief The view of the members or of the leaving servers has changed.
+/// @brief Reports that the set of members or of leaving servers has changed.
 struct ViewChanged { };
 
 using MembershipAction = std::variant<SendMessage, ViewChanged>;
 using MembershipActions = std::vector<MembershipAction>;
 
-/// @brief Times and sizes of the gossip.
+/// @brief Timeouts and limits of the gossip protocol.
 struct MembershipOptions {
-    Duration period = std::chrono::milliseconds(500); ///< Between two pings of one instance.
-    Duration ackTimeout = std::chrono::milliseconds(200); ///< Until others are asked to ping.
-    Duration suspicion
-        = std::chrono::seconds(3); ///< From suspicion to death, for up to 16 members; grows by logarithm.
-    std::size_t helpers = 3; ///< Members asked to ping on this one's behalf, and told of news at once.
+    Duration probeInterval = std::chrono::milliseconds(500); ///< Time between two probes by this instance.
+    Duration ackTimeout
+        = std::chrono::milliseconds(200); ///< Time without an acknowledgement until indirect probes are sent.
+    Duration suspicionTimeout = std::chrono::seconds(
+        3); ///< Time until a suspected member is declared dead, for up to 16 members; grows logarithmically beyond.
+    std::size_t fanout = 3; ///< Random members that receive indirect probe requests or urgent updates.
     std::size_t updatesPerMessage = 12;
-    std::size_t mostUpdatesPerMessage = 36; ///< While much is new, as when all start at once.
-    Duration deadKept = std::chrono::seconds(60); ///< Time that a dead or left member is remembered.
+    std::size_t maxUpdatesPerMessage
+        = 36; ///< Limit while many updates are pending, such as when all instances start at once.
+    Duration deadMemberRetention
+        = std::chrono::seconds(60); ///< Time until the record of a dead or leaving member is removed.
 };
 
-/// @brief Membership of the instances of one region by gossip with suspicion; no coordinator. Not thread-safe.
+/// @brief SWIM-style gossip membership of the instances of one region, without a coordinator. Not thread-safe.
 ///
-/// One random member is pinged in each period, through others where it does not answer, and is suspected only then. A
-/// suspected instance refutes with a higher incarnation. News ride on pings and answers, each a few times, so that the
-/// cost of an instance does not grow with their number.
+/// Each probe interval one random member is pinged, through other members if it does not acknowledge, and is suspected
+/// only if that fails too. A suspected instance refutes the suspicion with a higher incarnation. Updates are
+/// piggybacked on pings and acknowledgements a limited number of times each, so that the message rate of an instance
+/// does not grow with the number of instances.
 class Membership {
 public:
-    /// @param self This instance; its incarnation is the calendar time of its start in milliseconds.
+    /// @param self This instance; its incarnation is its start time in milliseconds since the Unix epoch.
     Membership(Member self, MembershipOptions options, std::uint64_t seed);
 
-    /// @brief Lets time pass; called some times in each period.
+    /// @brief Runs the timers; call several times in each probe interval.
     void tick(TimePoint now, MembershipActions& out);
-    /// @brief A ping came.
+    /// @brief Handles a received ping.
     void onPing(const Ping& ping, TimePoint now, MembershipActions& out);
-    /// @brief An answer came.
+    /// @brief Handles a received acknowledgement.
     void onAck(const Ack& ack, TimePoint now, MembershipActions& out);
-    /// @brief The platform's list, or a peer, named an instance; used only where it is not known yet.
+    /// @brief Adds an instance from the instance list or from a peer, unless it is already known.
     void introduce(const Member& member, TimePoint now);
-    /// @brief The version in force on this instance has changed; tells some members at once.
+    /// @brief Sets the configuration version in force on this instance and gossips it immediately.
     void setConfig(ConfigVersion version, TimePoint now, MembershipActions& out);
-    /// @brief This instance is leaving; tells some members at once.
+    /// @brief Marks this instance as leaving and gossips it immediately.
     void leave(TimePoint now, MembershipActions& out);
-    /// @brief This instance noticed that a backend server leaves or came back; tells some members at once.
+    /// @brief Records that a backend server is leaving or has returned and gossips it immediately.
     void notice(const ServerNotice& notice, TimePoint now, MembershipActions& out);
 
-    /// @brief This instance and all it knows, dead ones included.
+    /// @brief Returns this instance and all known members, including dead ones.
     std::vector<Member> members() const;
-    /// @brief Instances that share the work: alive or suspected, this one included unless it leaves.
+    /// @brief Returns the instances that receive work: alive or suspected, including this one unless it is leaving.
     std::vector<Member> working() const;
-    /// @brief Backend servers that are leaving.
+    /// @brief Returns the backend servers that are leaving.
     std::set<BackendServerId> leavingServers() const;
     const Member& self() const { return m_self; }
 
 private:
-    struct Known {
+    struct MemberEntry {
         Member member;
-        TimePoint since; ///< Of its present state.
+        TimePoint stateSince;
     };
     struct Probe {
         InstanceId target;
         std::uint64_t sequence = 0;
-        TimePoint askOthersAt;
-        TimePoint giveUpAt;
-        bool askedOthers = false;
+        TimePoint indirectProbeAt;
+        TimePoint timeoutAt;
+        bool indirectProbesSent = false;
     };
-    struct Relay {
-        config::Endpoint asker;
+    struct RelayedPing {
+        config::Endpoint requester;
         std::uint64_t sequence = 0;
-        TimePoint until;
+        TimePoint expiresAt;
     };
-    template <class T> struct News {
+    template <class T> struct PendingUpdate {
         T value;
-        std::size_t sent = 0;
+        std::size_t transmissions = 0;
     };
 
     void startProbe(TimePoint now, MembershipActions& out);
-    void callDead(MembershipActions& out);
-    Digest welcome();
-    bool isNew(const Member& member) const;
+    void pingDeadMember(MembershipActions& out);
+    Digest makeNewMemberDigest();
+    bool isNewIncarnation(const Member& member) const;
     void advanceProbe(TimePoint now, MembershipActions& out);
-    void expire(TimePoint now, MembershipActions& out);
-    void take(const Digest& digest, TimePoint now, MembershipActions& out);
-    bool takeMember(const Member& member, TimePoint now);
-    bool refute(const Member& rumour);
-    bool takeNotice(const ServerNotice& notice);
-    void spread(const Member& member);
-    void tellSome(MembershipActions& out);
-    Digest digest();
-    std::vector<InstanceId> pickOthers(std::size_t n, const InstanceId& except);
-    std::size_t spreadLimit() const;
-    Duration suspicionTime() const;
+    void expireMembers(TimePoint now, MembershipActions& out);
+    void applyDigest(const Digest& digest, TimePoint now, MembershipActions& out);
+    bool applyMember(const Member& member, TimePoint now);
+    bool refute(const Member& update);
+    bool applyServerNotice(const ServerNotice& notice);
+    void queueUpdate(const Member& member);
+    void gossipToRandomMembers(MembershipActions& out);
+    Digest makeDigest();
+    std::vector<InstanceId> pickRandomMembers(std::size_t n, const InstanceId& except);
+    std::size_t maxTransmissions() const;
+    Duration currentSuspicionTimeout() const;
 
     Member m_self;
     MembershipOptions m_options;
     Random m_random;
-    std::map<InstanceId, Known> m_known;
-    std::map<BackendServerId, ServerNotice> m_servers;
-    std::map<InstanceId, News<Member>> m_memberNews;
-    std::map<BackendServerId, News<ServerNotice>> m_serverNews;
-    std::vector<InstanceId> m_order; ///< Members still to be pinged in this round.
+    std::map<InstanceId, MemberEntry> m_members;
+    std::map<BackendServerId, ServerNotice> m_serverNotices;
+    std::map<InstanceId, PendingUpdate<Member>> m_memberUpdates;
+    std::map<BackendServerId, PendingUpdate<ServerNotice>> m_serverUpdates;
+    std::vector<InstanceId> m_probeOrder; ///< Members that remain to be probed in this round, last first.
     std::optional<Probe> m_probe;
-    std::map<std::uint64_t, Relay> m_relays;
+    std::map<std::uint64_t, RelayedPing> m_relayedPings;
     std::uint64_t m_sequence = 0;
-    TimePoint m_probeAt {};
+    TimePoint m_nextProbeAt {};
 };
 
-/// @brief The `n` members that weigh most for `key` by rendezvous hash, heaviest first.
+/// @brief Returns the `n` members with the greatest rendezvous hash weight for `key`, greatest first.
 std::vector<InstanceId> owners(const std::string& key, const std::vector<Member>& members, std::size_t n);
 
 } // namespace foxtailwheel::membership
--- a/src/foxtailwheel/membership/Membership.cpp
+++ b/src/foxtailwheel/membership/Membership.cpp
@@ -11,19 +11,23 @@
 
     using namespace std::chrono_literals;
 
-    constexpr double spreadFactor = 3;
-    constexpr double smallGroup = 16;
-    constexpr Duration relayLife = 2s;
-    /// Chance in each period that a dead member is called, so that the sides of a healed cut find each other.
-    constexpr double callDeadChance = 0.3;
-    /// Members told to one that has just appeared.
-    constexpr std::size_t toldToNewcomer = 64;
-
-    bool isWorking(const Member& member)
+    /// An update is sent this many times the binary logarithm of the number of members.
+    constexpr double transmissionFactor = 3;
+    /// Number of members up to which the suspicion timeout is not extended.
+    constexpr double suspicionBaseMembers = 16;
+    /// Time for which a relayed ping waits for its acknowledgement.
+    constexpr Duration relayTimeout = 2s;
+    /// Probability in each probe interval of a ping to a dead member. These pings reconnect the two sides of a network
+    /// partition after it heals.
+    constexpr double deadMemberPingProbability = 0.3;
+    /// Maximum number of members added to the acknowledgement to a new member.
+    constexpr std::size_t maxMembersForNewMember = 64;
+
+    bool isActive(const Member& member)
     {
-        // An instance that was only read from the list has incarnation 0 until it was heard of.
-        const bool heard = member.incarnation.value() > 0;
-        return heard && (member.state == MemberState::Alive || member.state == MemberState::Suspect);
+        // An instance that is known only from the instance list has incarnation 0 until a message confirms it.
+        const bool isConfirmed = member.incarnation.value() > 0;
+        return isConfirmed && (member.state == MemberState::Alive || member.state == MemberState::Suspect);
     }
 
 } // namespace
@@ -33,56 +37,59 @@
     , m_options(options)
     , m_random(seed)
 {
-    spread(m_self);
+    queueUpdate(m_self);
 }
 
-std::size_t Membership::spreadLimit() const
+std::size_t Membership::maxTransmissions() const
 {
-    return static_cast<std::size_t>(std::ceil(spreadFactor * std::log2(static_cast<double>(m_known.size() + 2))));
+    return static_cast<std::size_t>(
+        std::ceil(transmissionFactor * std::log2(static_cast<double>(m_members.size() + 2))));
 }
 
-Duration Membership::suspicionTime() const
+Duration Membership::currentSuspicionTimeout() const
 {
-    const double factor = std::max(1.0, std::log2(static_cast<double>(m_known.size() + 1)) / std::log2(smallGroup));
-    return fromSeconds(toSeconds(m_options.suspicion) * factor);
+    const double factor
+        = std::max(1.0, std::log2(static_cast<double>(m_members.size() + 1)) / std::log2(suspicionBaseMembers));
+    return fromSeconds(toSeconds(m_options.suspicionTimeout) * factor);
 }
 
-void Membership::spread(const Member& member)
+void Membership::queueUpdate(const Member& member)
 {
-    m_memberNews[member.id] = { member, 0 };
+    m_memberUpdates[member.id] = { member, 0 };
 }
 
-Digest Membership::digest()
+Digest Membership::makeDigest()
 {
     Digest digest { m_self, {}, {} };
-    const auto limit = spreadLimit();
-    const auto take = [this, limit](auto& news, auto& into) {
-        const auto most = std::clamp(news.size() / 3, m_options.updatesPerMessage, m_options.mostUpdatesPerMessage);
-        for (auto it = news.begin(); it != news.end() && into.size() < most;) {
-            into.push_back(it->second.value);
-            it = ++it->second.sent >= limit ? news.erase(it) : std::next(it);
+    const auto transmissionLimit = maxTransmissions();
+    const auto takeUpdates = [this, transmissionLimit](auto& updates, auto& selected) {
+        const auto maxCount
+            = std::clamp(updates.size() / 3, m_options.updatesPerMessage, m_options.maxUpdatesPerMessage);
+        for (auto it = updates.begin(); it != updates.end() && selected.size() < maxCount;) {
+            selected.push_back(it->second.value);
+            it = ++it->second.transmissions >= transmissionLimit ? updates.erase(it) : std::next(it);
         }
     };
-    take(m_memberNews, digest.members);
-    take(m_serverNews, digest.servers);
-    // A quiet time is used to mend what was missed: some member is told anew.
-    if (digest.members.empty() && !m_known.empty()) {
-        auto it = m_known.begin();
-        std::advance(it, static_cast<std::ptrdiff_t>(m_random.below(m_known.size())));
+    takeUpdates(m_memberUpdates, digest.members);
+    takeUpdates(m_serverUpdates, digest.servers);
+    // Without pending updates a random record is sent again, which repairs updates that were lost.
+    if (digest.members.empty() && !m_members.empty()) {
+        auto it = m_members.begin();
+        std::advance(it, static_cast<std::ptrdiff_t>(m_random.below(m_members.size())));
         digest.members.push_back(it->second.member);
     }
-    if (digest.servers.empty() && !m_servers.empty()) {
-        auto it = m_servers.begin();
-        std::advance(it, static_cast<std::ptrdiff_t>(m_random.below(m_servers.size())));
+    if (digest.servers.empty() && !m_serverNotices.empty()) {
+        auto it = m_serverNotices.begin();
+        std::advance(it, static_cast<std::ptrdiff_t>(m_random.below(m_serverNotices.size())));
         digest.servers.push_back(it->second);
     }
     return digest;
 }
 
-std::vector<InstanceId> Membership::pickOthers(std::size_t n, const InstanceId& except)
+std::vector<InstanceId> Membership::pickRandomMembers(std::size_t n, const InstanceId& except)
 {
     std::vector<InstanceId> ids;
-    for (const auto& it : m_known) {
+    for (const auto& it : m_members) {
         if (it.second.member.state != MemberState::Dead && it.first != except)
             ids.push_back(it.first);
     }
@@ -92,184 +99,187 @@
     return ids;
 }
 
-void Membership::tellSome(MembershipActions& out)
+void Membership::gossipToRandomMembers(MembershipActions& out)
 {
-    for (const auto& it : pickOthers(m_options.helpers, m_self.id))
-        out.emplace_back(SendMessage { m_known.at(it).member.peers, Ping { ++m_sequence, {}, digest() } });
+    for (const auto& it : pickRandomMembers(m_options.fanout, m_self.id))
+        out.emplace_back(SendMessage { m_members.at(it).member.peers, Ping { ++m_sequence, {}, makeDigest() } });
 }
 
 void Membership::tick(TimePoint now, MembershipActions& out)
 {
     advanceProbe(now, out);
-    expire(now, out);
-    if (!m_probe && now >= m_probeAt)
+    expireMembers(now, out);
+    if (!m_probe && now >= m_nextProbeAt)
         startProbe(now, out);
 }
 
 void Membership::startProbe(TimePoint now, MembershipActions& out)
 {
-    m_probeAt = now + m_options.period;
-    while (!m_order.empty()
-        && (!m_known.contains(m_order.back()) || m_known.at(m_order.back()).member.state == MemberState::Dead))
-        m_order.pop_back();
-    if (m_order.empty())
-        m_order = pickOthers(m_known.size(), m_self.id);
-    if (m_order.empty())
+    m_nextProbeAt = now + m_options.probeInterval;
+    while (!m_probeOrder.empty()
+        && (!m_members.contains(m_probeOrder.back())
+            || m_members.at(m_probeOrder.back()).member.state == MemberState::Dead))
+        m_probeOrder.pop_back();
+    if (m_probeOrder.empty())
+        m_probeOrder = pickRandomMembers(m_members.size(), m_self.id);
+    if (m_probeOrder.empty())
         return;
-    callDead(out);
-    const auto target = m_order.back();
-    m_order.pop_back();
-    m_probe = Probe { target, ++m_sequence, now + m_options.ackTimeout, now + m_options.period, false };
-    out.emplace_back(SendMessage { m_known.at(target).member.peers, Ping { m_sequence, {}, digest() } });
+    pingDeadMember(out);
+    const auto target = m_probeOrder.back();
+    m_probeOrder.pop_back();
+    m_probe = Probe { target, ++m_sequence, now + m_options.ackTimeout, now + m_options.probeInterval, false };
+    out.emplace_back(SendMessage { m_members.at(target).member.peers, Ping { m_sequence, {}, makeDigest() } });
 }
 
-void Membership::callDead(MembershipActions& out)
+void Membership::pingDeadMember(MembershipActions& out)
 {
-    std::vector<const Member*> dead;
-    for (const auto& it : m_known) {
+    std::vector<const Member*> deadMembers;
+    for (const auto& it : m_members) {
         if (it.second.member.state == MemberState::Dead)
-            dead.push_back(&it.second.member);
+            deadMembers.push_back(&it.second.member);
     }
-    if (dead.empty() || !m_random.chance(callDeadChance))
+    if (deadMembers.empty() || !m_random.chance(deadMemberPingProbability))
         return;
-    const auto& member = *dead[m_random.below(dead.size())];
-    Ping ping { ++m_sequence, {}, digest() };
-    // It hears that it is thought dead, and refutes.
+    const auto& member = *deadMembers[m_random.below(deadMembers.size())];
+    Ping ping { ++m_sequence, {}, makeDigest() };
+    // A member that is still alive refutes its own dead record.
     ping.digest.members.push_back(member);
     out.emplace_back(SendMessage { member.peers, std::move(ping) });
 }
 
 void Membership::advanceProbe(TimePoint now, MembershipActions& out)
 {
-    if (!m_probe || !m_known.contains(m_probe->target)) {
+    if (!m_probe || !m_members.contains(m_probe->target)) {
         m_probe.reset();
         return;
     }
-    if (now >= m_probe->giveUpAt) {
-        auto suspect = m_known.at(m_probe->target).member;
+    if (now >= m_probe->timeoutAt) {
+        auto suspect = m_members.at(m_probe->target).member;
         m_probe.reset();
         if (suspect.state == MemberState::Alive) {
             suspect.state = MemberState::Suspect;
-            takeMember(suspect, now);
+            applyMember(suspect, now);
             out.emplace_back(ViewChanged {});
         }
         return;
     }
-    if (m_probe->askedOthers || now < m_probe->askOthersAt)
+    if (m_probe->indirectProbesSent || now < m_probe->indirectProbeAt)
         return;
-    m_probe->askedOthers = true;
-    for (const auto& it : pickOthers(m_options.helpers, m_probe->target))
+    m_probe->indirectProbesSent = true;
+    for (const auto& it : pickRandomMembers(m_options.fanout, m_probe->target))
         out.emplace_back(
-            SendMessage { m_known.at(it).member.peers, Ping { m_probe->sequence, m_probe->target, digest() } });
+            SendMessage { m_members.at(it).member.peers, Ping { m_probe->sequence, m_probe->target, makeDigest() } });
 }
 
-void Membership::expire(TimePoint now, MembershipActions& out)
+void Membership::expireMembers(TimePoint now, MembershipActions& out)
 {
-    for (auto it = m_known.begin(); it != m_known.end();) {
-        auto& known = it->second;
-        const bool gone = known.member.state == MemberState::Dead || known.member.state == MemberState::Leaving;
-        if (gone && now - known.since > m_options.deadKept) {
-            it = m_known.erase(it);
+    for (auto it = m_members.begin(); it != m_members.end();) {
+        auto& entry = it->second;
+        const bool isInactive = entry.member.state == MemberState::Dead || entry.member.state == MemberState::Leaving;
+        if (isInactive && now - entry.stateSince > m_options.deadMemberRetention) {
+            it = m_members.erase(it);
             continue;
         }
-        if (known.member.state == MemberState::Suspect && now - known.since > suspicionTime()) {
-            known.member.state = MemberState::Dead;
-            known.since = now;
-            spread(known.member);
+        if (entry.member.state == MemberState::Suspect && now - entry.stateSince > currentSuspicionTimeout()) {
+            entry.member.state = MemberState::Dead;
+            entry.stateSince = now;
+            queueUpdate(entry.member);
             out.emplace_back(ViewChanged {});
         }
         ++it;
     }
-    std::erase_if(m_relays, [now](const auto& it) { return it.second.until < now; });
+    std::erase_if(m_relayedPings, [now](const auto& it) { return it.second.expiresAt < now; });
 }
 
-bool Membership::refute(const Member& rumour)
+bool Membership::refute(const Member& update)
 {
-    const bool wrong = rumour.incarnation >= m_self.incarnation && rumour.state != m_self.state
-        && rumour.state != MemberState::Alive;
-    if (!wrong)
+    const bool mustRefute = update.incarnation >= m_self.incarnation && update.state != m_self.state
+        && update.state != MemberState::Alive;
+    if (!mustRefute)
         return false;
-    m_self.incarnation = rumour.incarnation.next();
-    spread(m_self);
+    m_self.incarnation = update.incarnation.next();
+    queueUpdate(m_self);
     return true;
 }
 
-bool Membership::takeMember(const Member& member, TimePoint now)
+bool Membership::applyMember(const Member& member, TimePoint now)
 {
     if (member.id == m_self.id)
         return refute(member);
-    const auto it = m_known.find(member.id);
-    if (it != m_known.end() && !supersedes(member, it->second.member))
+    const auto it = m_members.find(member.id);
+    if (it != m_members.end() && !supersedes(member, it->second.member))
         return false;
-    if (it == m_known.end() && member.state == MemberState::Dead)
+    if (it == m_members.end() && member.state == MemberState::Dead)
         return false;
-    const bool sameState = it != m_known.end() && it->second.member.state == member.state;
-    const auto since = sameState ? it->second.since : now;
-    m_known[member.id] = { member, since };
-    spread(member);
+    const bool sameState = it != m_members.end() && it->second.member.state == member.state;
+    const auto stateSince = sameState ? it->second.stateSince : now;
+    m_members[member.id] = { member, stateSince };
+    queueUpdate(member);
     return true;
 }
 
-bool Membership::takeNotice(const ServerNotice& notice)
+bool Membership::applyServerNotice(const ServerNotice& notice)
 {
-    const auto it = m_servers.find(notice.server);
-    if (it != m_servers.end() && it->second.sequence >= notice.sequence)
+    const auto it = m_serverNotices.find(notice.server);
+    if (it != m_serverNotices.end() && it->second.sequence >= notice.sequence)
         return false;
-    m_servers[notice.server] = notice;
-    m_serverNews[notice.server] = { notice, 0 };
+    m_serverNotices[notice.server] = notice;
+    m_serverUpdates[notice.server] = { notice, 0 };
     return true;
 }
 
-void Membership::take(const Digest& digest, TimePoint now, MembershipActions& out)
+void Membership::applyDigest(const Digest& digest, TimePoint now, MembershipActions& out)
 {
-    bool changed = takeMember(digest.sender, now);
+    bool changed = applyMember(digest.sender, now);
     for (const auto& it : digest.members)
-        changed = takeMember(it, now) || changed;
+        changed = applyMember(it, now) || changed;
     for (const auto& it : digest.servers)
-        changed = takeNotice(it) || changed;
+        changed = applyServerNotice(it) || changed;
     if (changed)
         out.emplace_back(ViewChanged {});
 }
 
-Digest Membership::welcome()
+Digest Membership::makeNewMemberDigest()
 {
-    auto all = digest();
-    for (const auto& it : pickOthers(toldToNewcomer, m_self.id))
-        all.members.push_back(m_known.at(it).member);
+    auto all = makeDigest();
+    for (const auto& it : pickRandomMembers(maxMembersForNewMember, m_self.id))
+        all.members.push_back(m_members.at(it).member);
     return all;
 }
 
-bool Membership::isNew(const Member& member) const
+bool Membership::isNewIncarnation(const Member& member) const
 {
-    const auto it = m_known.find(member.id);
-    return it == m_known.end() || it->second.member.incarnation < member.incarnation;
+    const auto it = m_members.find(member.id);
+    return it == m_members.end() || it->second.member.incarnation < member.incarnation;
 }
 
 void Membership::onPing(const Ping& ping, TimePoint now, MembershipActions& out)
 {
-    const bool appeared = isNew(ping.digest.sender);
-    take(ping.digest, now, out);
-    const auto& asker = ping.digest.sender.peers;
-    if (appeared)
-        tellSome(out);
+    const bool isNewSender = isNewIncarnation(ping.digest.sender);
+    applyDigest(ping.digest, now, out);
+    const auto& requester = ping.digest.sender.peers;
+    if (isNewSender)
+        gossipToRandomMembers(out);
     if (ping.target.empty() || ping.target == m_self.id) {
-        out.emplace_back(SendMessage { asker, Ack { ping.sequence, m_self.id, appeared ? welcome() : digest() } });
+        out.emplace_back(SendMessage {
+            requester, Ack { ping.sequence, m_self.id, isNewSender ? makeNewMemberDigest() : makeDigest() } });
         return;
     }
-    const auto it = m_known.find(ping.target);
-    if (it == m_known.end())
+    const auto it = m_members.find(ping.target);
+    if (it == m_members.end())
         return;
-    m_relays[++m_sequence] = { asker, ping.sequence, now + relayLife };
-    out.emplace_back(SendMessage { it->second.member.peers, Ping { m_sequence, {}, digest() } });
+    m_relayedPings[++m_sequence] = { requester, ping.sequence, now + relayTimeout };
+    out.emplace_back(SendMessage { it->second.member.peers, Ping { m_sequence, {}, makeDigest() } });
 }
 
 void Membership::onAck(const Ack& ack, TimePoint now, MembershipActions& out)
 {
-    take(ack.digest, now, out);
-    const auto relay = m_relays.find(ack.sequence);
-    if (relay != m_relays.end()) {
-        out.emplace_back(SendMessage { relay->second.asker, Ack { relay->second.sequence, ack.target, digest() } });
-        m_relays.erase(relay);
+    applyDigest(ack.digest, now, out);
+    const auto relay = m_relayedPings.find(ack.sequence);
+    if (relay != m_relayedPings.end()) {
+        out.emplace_back(
+            SendMessage { relay->second.requester, Ack { relay->second.sequence, ack.target, makeDigest() } });
+        m_relayedPings.erase(relay);
     }
     if (m_probe && m_probe->sequence == ack.sequence && m_probe->target == ack.target)
         m_probe.reset();
@@ -277,8 +287,8 @@
 
 void Membership::introduce(const Member& member, TimePoint now)
 {
-    if (member.id != m_self.id && !m_known.contains(member.id))
-        takeMember(member, now);
+    if (member.id != m_self.id && !m_members.contains(member.id))
+        applyMember(member, now);
 }
 
 void Membership::setConfig(ConfigVersion version, TimePoint /*now*/, MembershipActions& out)
@@ -286,29 +296,29 @@
     if (version <= m_self.config)
         return;
     m_self.config = version;
-    spread(m_self);
-    tellSome(out);
+    queueUpdate(m_self);
+    gossipToRandomMembers(out);
 }
 
 void Membership::leave(TimePoint /*now*/, MembershipActions& out)
 {
     m_self.state = MemberState::Leaving;
-    spread(m_self);
-    tellSome(out);
+    queueUpdate(m_self);
+    gossipToRandomMembers(out);
 }
 
 void Membership::notice(const ServerNotice& notice, TimePoint /*now*/, MembershipActions& out)
 {
-    if (!takeNotice(notice))
+    if (!applyServerNotice(notice))
         return;
     out.emplace_back(ViewChanged {});
-    tellSome(out);
+    gossipToRandomMembers(out);
 }
 
 std::vector<Member> Membership::members() const
 {
     std::vector<Member> all { m_self };
-    for (const auto& it : m_known)
+    for (const auto& it : m_members)
         all.push_back(it.second.member);
     return all;
 }
@@ -316,14 +326,14 @@
 std::vector<Member> Membership::working() const
 {
     auto all = members();
-    std::erase_if(all, [](const Member& it) { return !isWorking(it); });
+    std::erase_if(all, [](const Member& it) { return !isActive(it); });
     return all;
 }
 
 std::set<BackendServerId> Membership::leavingServers() const
 {
     std::set<BackendServerId> leaving;
-    for (const auto& it : m_servers) {
+    for (const auto& it : m_serverNotices) {
         if (it.second.leaving)
             leaving.insert(it.first);
     }
@@ -332,15 +342,15 @@
 
 std::vector<InstanceId> owners(const std::string& key, const std::vector<Member>& members, std::size_t n)
 {
-    std::vector<std::pair<std::uint64_t, InstanceId>> weighed;
+    std::vector<std::pair<std::uint64_t, InstanceId>> weightedIds;
     for (const auto& it : members)
-        weighed.emplace_back(rendezvousWeight(key, it.id.value()), it.id);
-    n = std::min(n, weighed.size());
-    std::partial_sort(
-        weighed.begin(), weighed.begin() + static_cast<std::ptrdiff_t>(n), weighed.end(), std::greater<> {});
+        weightedIds.emplace_back(rendezvousWeight(key, it.id.value()), it.id);
+    n = std::min(n, weightedIds.size());
+    std::partial_sort(weightedIds.begin(), weightedIds.begin() + static_cast<std::ptrdiff_t>(n), weightedIds.end(),
+        std::greater<> {});
     std::vector<InstanceId> ids;
     for (std::size_t i = 0; i < n; ++i)
-        ids.push_back(weighed[i].second);
+        ids.push_back(weightedIds[i].second);
     return ids;
 }
 
--- a/src/foxtailwheel/membership/MembershipTest.cpp
+++ b/src/foxtailwheel/membership/MembershipTest.cpp
@@ -10,87 +10,87 @@
 
 namespace {
 
-constexpr std::size_t count = 9;
+constexpr std::size_t instanceCount = 9;
 
 } // namespace
 
-Test(Membership, allMeetFromAPartialList)
+Test(Membership, allInstancesDiscoverEachOtherFromAPartialList)
 {
-    GossipGroup group(count, 0, 1);
+    GossipGroup group(instanceCount, 0, 1);
     group.run(5s);
     cr_assert(group.agreed());
 }
 
 Test(Membership, aNewInstanceIsKnownToAllWithinThreeSeconds)
 {
-    GossipGroup group(count, 0, 2);
+    GossipGroup group(instanceCount, 0, 2);
     group.run(5s);
-    group.start(count);
+    group.start(instanceCount);
     group.run(3s);
     cr_assert(group.agreed());
 }
 
-Test(Membership, aLeavingInstanceGetsNoShareWithinThreeSeconds)
+Test(Membership, aLeavingInstanceIsInactiveOnAllWithinThreeSeconds)
 {
-    GossipGroup group(count, 0, 3);
+    GossipGroup group(instanceCount, 0, 3);
     group.run(5s);
     group.leave(4);
     group.run(3s);
-    for (std::size_t i = 0; i < count; ++i)
-        cr_assert_eq(group.at(i).working().size(), count - 1);
+    for (std::size_t i = 0; i < instanceCount; ++i)
+        cr_assert_eq(group.at(i).working().size(), instanceCount - 1);
 }
 
-Test(Membership, aSilentDeathIsNoticed)
+Test(Membership, aCrashedInstanceIsDetected)
 {
-    GossipGroup group(count, 0, 4);
+    GossipGroup group(instanceCount, 0, 4);
     group.run(5s);
     group.kill(3);
     group.run(15s);
     cr_assert(group.agreed());
 }
 
-Test(Membership, aPausedInstanceReturns)
+Test(Membership, aPausedInstanceRejoins)
 {
-    GossipGroup group(count, 0, 5);
+    GossipGroup group(instanceCount, 0, 5);
     group.run(5s);
     group.pause(2);
     group.run(20s);
-    cr_assert_eq(group.at(0).working().size(), count - 1);
+    cr_assert_eq(group.at(0).working().size(), instanceCount - 1);
     group.resume(2);
     group.run(5s);
     cr_assert(group.agreed());
 }
 
-Test(Membership, thirtyPercentLossKillsNobodyForLong)
+Test(Membership, thirtyPercentMessageLossKeepsTheViewsMostlyInAgreement)
 {
-    GossipGroup group(count, 0.3, 6);
+    GossipGroup group(instanceCount, 0.3, 6);
     group.run(10s);
-    std::size_t agreedTimes = 0;
+    std::size_t secondsInAgreement = 0;
     for (int i = 0; i < 60; ++i) {
         group.run(1s);
-        agreedTimes += group.agreed() ? 1 : 0;
+        secondsInAgreement += group.agreed() ? 1 : 0;
     }
-    cr_assert_geq(agreedTimes, 54U);
+    cr_assert_geq(secondsInAgreement, 54U);
 }
 
-Test(Membership, aCutZoneIsFoundAgain)
+Test(Membership, theViewsMergeAfterANetworkPartition)
 {
-    GossipGroup group(count, 0, 7);
+    GossipGroup group(instanceCount, 0, 7);
     group.run(5s);
     group.cut({ 0, 2, 4 });
     group.run(20s);
     cr_assert_eq(group.at(0).working().size(), 3U);
-    cr_assert_eq(group.at(1).working().size(), count - 3);
+    cr_assert_eq(group.at(1).working().size(), instanceCount - 3);
     group.cut({});
     group.run(10s);
     cr_assert(group.agreed());
 }
 
-Test(Membership, allAreReplacedOneByOne)
+Test(Membership, rollingReplacementOfAllInstancesConverges)
 {
-    GossipGroup group(count, 0, 8);
+    GossipGroup group(instanceCount, 0, 8);
     group.run(5s);
-    for (std::size_t i = 0; i < count; ++i) {
+    for (std::size_t i = 0; i < instanceCount; ++i) {
         group.leave(i);
         group.run(1s);
         group.kill(i);
@@ -101,11 +101,11 @@
     cr_assert(group.agreed());
 }
 
-Test(Membership, aVersionIsKnownToAllWithinThreeSeconds)
+Test(Membership, aConfigVersionIsKnownToAllWithinThreeSeconds)
 {
-    GossipGroup group(count, 0.1, 9);
+    GossipGroup group(instanceCount, 0.1, 9);
     group.run(5s);
-    for (std::size_t i = 0; i < count; ++i)
+    for (std::size_t i = 0; i < instanceCount; ++i)
         group.setConfig(i, ConfigVersion(1));
     group.run(3s);
     cr_assert(group.lowestKnownConfig() == ConfigVersion(1));
@@ -115,16 +115,17 @@
 {
     const BackendServerId server("booking-3");
     for (std::uint64_t seed = 10; seed < 30; ++seed) {
-        GossipGroup group(count, 0.1, seed);
+        GossipGroup group(instanceCount, 0.1, seed);
         group.run(5s);
-        group.noticeLeaving(seed % count, server);
+        group.noticeLeaving(seed % instanceCount, server);
         group.run(3s);
-        for (std::size_t i = 0; i < count; ++i)
-            cr_assert(group.at(i).leavingServers().contains(server), "seed %lu, instance %zu", seed, i);
+        for (std::size_t i = 0; i < instanceCount; ++i)
+            cr_assert(group.at(i).leavingServers().contains(server),
+                "seed %lu: instance %zu does not list the leaving server", seed, i);
     }
 }
 
-Test(Membership, theCostOfAnInstanceStaysFlat)
+Test(Membership, theMessageRatePerInstanceIsIndependentOfTheGroupSize)
 {
     const auto messagesPerInstance = [](std::size_t n) {
         GossipGroup group(n, 0, 11);
@@ -136,7 +137,7 @@
     cr_assert_leq(messagesPerInstance(64), messagesPerInstance(8) * 1.1);
 }
 
-Test(Membership, ownersChangeLittle)
+Test(Membership, removingAMemberMovesFewKeys)
 {
     std::vector<membership::Member> members;
     for (std::size_t i = 0; i < 20; ++i) {
@@ -145,10 +146,10 @@
     }
     auto fewer = members;
     fewer.pop_back();
-    std::size_t moved = 0;
+    std::size_t movedKeys = 0;
     for (int i = 0; i < 1000; ++i) {
         const auto key = "key-" + std::to_string(i);
-        moved += membership::owners(key, members, 1) == membership::owners(key, fewer, 1) ? 0 : 1;
+        movedKeys += membership::owners(key, members, 1) == membership::owners(key, fewer, 1) ? 0 : 1;
     }
-    cr_assert_lt(moved, 100U);
+    cr_assert_lt(movedKeys, 100U);
 }
