--- a/include/foxtailwheel/peer/Message.h
+++ b/include/foxtailwheel/peer/Message.h
@@ -14,26 +14,26 @@
 
 namespace foxtailwheel::peer {
 
-/// @brief Send me this version of the configuration.
+/// @brief Request for a version of the configuration.
 struct ConfigRequest {
     membership::Member sender;
-    ConfigVersion version; ///< Wanted.
-    ConfigVersion have; ///< In force at the sender; patches from there will do.
+    ConfigVersion version; ///< Requested version.
+    ConfigVersion have; ///< Version in force on the sender; the reply may contain patches from it instead of the text.
 
     friend bool operator==(const ConfigRequest&, const ConfigRequest&) = default;
 };
 
-/// @brief A text of the configuration, or the patches that lead to it; both empty where the asked instance has neither.
+/// @brief Text of the configuration, or the patches that lead to it; both are empty if the sender has neither.
 struct ConfigReply {
     ConfigVersion version;
     std::string text;
     std::string hash; ///< SHA-256 of the text.
-    std::vector<config::Patch> patches; ///< In their order.
+    std::vector<config::Patch> patches; ///< In the order in which they apply.
 
     friend bool operator==(const ConfigReply&, const ConfigReply&) = default;
 };
 
-/// @brief A rate of one client account.
+/// @brief Request rate of one client account.
 struct AccountRate {
     ClientAccountId account;
     double perSecond = 0;
@@ -41,7 +41,7 @@
     friend bool operator==(const AccountRate&, const AccountRate&) = default;
 };
 
-/// @brief What an instance was asked for, told to the accounts' owner.
+/// @brief Request rates observed by an instance; sent to the instance that owns the rate limits of the accounts.
 struct Demand {
     membership::Member sender;
     std::vector<AccountRate> rates;
@@ -49,14 +49,14 @@
     friend bool operator==(const Demand&, const Demand&) = default;
 };
 
-/// @brief What an instance may use, told by the accounts' owner.
+/// @brief Request rates granted to an instance by the instance that owns the rate limits of the accounts.
 struct Allowance {
     std::vector<AccountRate> rates;
 
     friend bool operator==(const Allowance&, const Allowance&) = default;
 };
 
-/// @brief What an instance tells another about pieces.
+/// @brief A message about pieces of a batch, with its sender.
 struct PieceNews {
     membership::Member sender;
     serving::PieceMessage news;
@@ -64,11 +64,11 @@
     friend bool operator==(const PieceNews&, const PieceNews&) = default;
 };
 
-/// @brief Changes of a table of the store, passed on by the instance that asked for them.
+/// @brief Changes of a table of the store, forwarded by the instance that fetched them.
 struct TableNews {
     membership::Member sender;
     std::string table;
-    std::uint64_t after = 0; ///< The changes follow on this version.
+    std::uint64_t after = 0; ///< Version of the table that the changes apply to.
     store::FeedAnswer answer;
 
     friend bool operator==(const TableNews&, const TableNews&) = default;
@@ -78,14 +78,14 @@
 using Message = std::variant<membership::Ping, membership::Ack, ConfigRequest, ConfigReply, Demand, Allowance,
     PieceNews, TableNews>;
 
-/// @brief Most bytes of one encoded message.
-constexpr std::size_t largestMessageBytes = 20U << 20U;
+/// @brief Maximum size of an encoded message in bytes.
+constexpr std::size_t maxMessageBytes = 20U << 20U;
 
-/// @brief Message as bytes (FlatBuffers).
+/// @brief Encodes a message with FlatBuffers.
 std::string encodeMessage(const Message& message);
 
-/// @brief Bytes as message. Everything is verified before it is used.
-/// @return `Errc::ParseFailed` or `Errc::TooLarge`.
+/// @brief Decodes a message; verifies the whole buffer before any access.
+/// @return The message, or `Errc::ParseFailed` or `Errc::TooLarge`.
 Result<Message> decodeMessage(std::span<const std::uint8_t> bytes);
 
 } // namespace foxtailwheel::peer
--- a/include/foxtailwheel/peer/Network.h
+++ b/include/foxtailwheel/peer/Network.h
@@ -13,33 +13,35 @@
 
 namespace foxtailwheel::peer {
 
-/// @brief Why a connection or a frame of a peer was refused.
-enum class Refusal { WrongKey, WrongProtocol, OversizedFrame, GarbledFrame, CutFrame };
+/// @brief Reason for refusing a connection or a frame of a peer.
+enum class RefusalReason { WrongKey, WrongProtocol, OversizedFrame, MalformedFrame, TruncatedFrame };
 
-/// @brief Counts of refusals, by `Refusal`, and of traffic.
+/// @brief Counters of refusals, indexed by `RefusalReason`, and of traffic.
 struct NetworkCounts {
     std::array<std::uint64_t, 5> refused {};
     std::uint64_t sentFrames = 0;
     std::uint64_t sentBytes = 0;
     std::uint64_t receivedFrames = 0;
-    std::uint64_t droppedFrames = 0; ///< Not sent: the peer could not be reached or did not read.
+    std::uint64_t droppedFrames = 0; ///< Frames not sent because the peer was unreachable or too slow.
 };
 
-/// @brief Frames between instances over TCP; both ends prove the shared key before anything else is read.
+/// @brief Message transport between instances over TCP. Both ends authenticate with the shared key before any frame is
+/// read.
 class Network {
 public:
-    using Receive = std::function<void(Message)>;
-    /// @brief Told that the connection to an address has ended at the other side: what was sent may be lost.
-    using Closed = std::function<void(const config::Endpoint&)>;
-
-    /// @brief Listens and receives on the pool's threads.
-    /// @param key Shared secret of all instances.
-    /// @param closed May be empty.
-    static Result<std::unique_ptr<Network>> listen(
-        http::IoPool& pool, const config::Endpoint& address, std::string key, Receive receive, Closed closed = {});
+    using MessageHandler = std::function<void(Message)>;
+    /// @brief Called when the peer closes the connection to its address; messages sent before may be lost.
+    using DisconnectHandler = std::function<void(const config::Endpoint&)>;
+
+    /// @brief Starts to listen; the handlers run on the threads of the pool.
+    /// @param key Secret shared by all instances.
+    /// @param onDisconnect Can be empty.
+    /// @return The transport, or `Errc::Unreachable` if the address cannot be bound.
+    static Result<std::unique_ptr<Network>> listen(http::IoPool& pool, const config::Endpoint& address, std::string key,
+        MessageHandler onMessage, DisconnectHandler onDisconnect = {});
     virtual ~Network() = default;
 
-    /// @brief Sends a message, or drops it where the peer cannot be reached; never blocks.
+    /// @brief Sends a message without blocking; drops it if the peer is unreachable or its queue is full.
     virtual void send(const config::Endpoint& to, const Message& message) = 0;
     /// @brief Stops listening and closes all connections.
     virtual void close() = 0;
--- a/src/foxtailwheel/peer/Handshake.cpp
+++ b/src/foxtailwheel/peer/Handshake.cpp
@@ -7,26 +7,26 @@
 
 namespace foxtailwheel::peer {
 
-Nonce freshNonce()
+Nonce generateNonce()
 {
     Nonce nonce {};
     RAND_bytes(nonce.data(), static_cast<int>(nonce.size()));
     return nonce;
 }
 
-Proof prove(const std::string& key, std::string_view role, const Nonce& mine, const Nonce& theirs)
+Proof computeProof(const std::string& key, std::string_view role, const Nonce& ownNonce, const Nonce& peerNonce)
 {
-    std::string text(role);
-    text.append(mine.begin(), mine.end());
-    text.append(theirs.begin(), theirs.end());
+    std::string input(role);
+    input.append(ownNonce.begin(), ownNonce.end());
+    input.append(peerNonce.begin(), peerNonce.end());
     Proof proof {};
-    unsigned n = 0;
-    HMAC(EVP_sha256(), key.data(), static_cast<int>(key.size()), reinterpret_cast<const unsigned char*>(text.data()),
-        text.size(), proof.data(), &n);
+    unsigned proofLength = 0;
+    HMAC(EVP_sha256(), key.data(), static_cast<int>(key.size()), reinterpret_cast<const unsigned char*>(input.data()),
+        input.size(), proof.data(), &proofLength);
     return proof;
 }
 
-bool sameProof(const Proof& a, const Proof& b)
+bool proofsEqual(const Proof& a, const Proof& b)
 {
     return CRYPTO_memcmp(a.data(), b.data(), a.size()) == 0;
 }
--- a/src/foxtailwheel/peer/Message.cpp
+++ b/src/foxtailwheel/peer/Message.cpp
@@ -16,9 +16,9 @@
     using membership::Ping;
     using membership::ServerNotice;
 
-    /// Deepest nesting and most tables that a verified message may have.
-    constexpr unsigned deepestNesting = 16;
-    constexpr unsigned mostTables = 200000;
+    /// Limits of the FlatBuffers verifier.
+    constexpr unsigned maxNestingDepth = 16;
+    constexpr unsigned maxTables = 200000;
 
     auto pack(FlatBufferBuilder& fbb, const Member& member)
     {
@@ -70,13 +70,13 @@
 
     flatbuffers::Offset<wire::PieceMade> pack(FlatBufferBuilder& fbb, const serving::MadePiece& piece)
     {
-        const auto* made = std::get_if<serving::ResultHandle>(&piece.result);
-        if (made == nullptr)
+        const auto* result = std::get_if<serving::ResultHandle>(&piece.result);
+        if (result == nullptr)
             return wire::CreatePieceMadeDirect(
                 fbb, piece.index, nullptr, static_cast<std::uint8_t>(std::get<serving::PieceFailure>(piece.result)));
-        const auto& maker = made->maker;
-        return wire::CreatePieceMadeDirect(fbb, piece.index, made->value.c_str(), 0, maker.id.value().c_str(),
-            maker.host.c_str(), maker.port, maker.zone.value().c_str());
+        const auto& producer = result->maker;
+        return wire::CreatePieceMadeDirect(fbb, piece.index, result->value.c_str(), 0, producer.id.value().c_str(),
+            producer.host.c_str(), producer.port, producer.zone.value().c_str());
     }
 
     std::int64_t microseconds(Duration d)
@@ -84,7 +84,7 @@
         return std::chrono::duration_cast<std::chrono::microseconds>(d).count();
     }
 
-    std::vector<std::int64_t> timelyWaits(const serving::QueueWaits& waits)
+    std::vector<std::int64_t> packTimelyWaits(const serving::QueueWaits& waits)
     {
         std::vector<std::int64_t> out;
         for (const auto wait : waits.timely)
@@ -92,8 +92,8 @@
         return out;
     }
 
-    /// Packs one kind of news about pieces into its own table.
-    struct PieceNewsPacker {
+    /// Packs each kind of piece message into its own FlatBuffers table.
+    struct PieceUpdatePacker {
         FlatBufferBuilder& fbb;
         const Member& sender;
 
@@ -107,7 +107,7 @@
         }
         flatbuffers::Offset<wire::Envelope> operator()(const serving::PiecesTaken& it) const
         {
-            const auto waits = timelyWaits(it.waits);
+            const auto waits = packTimelyWaits(it.waits);
             return wrap(wire::Body::PiecesTaken,
                 wire::CreatePiecesTakenDirect(
                     fbb, pack(fbb, sender), it.group.value(), &waits, microseconds(it.waits.late)));
@@ -122,7 +122,7 @@
             std::vector<flatbuffers::Offset<wire::PieceMade>> pieces;
             for (const auto& piece : it.pieces)
                 pieces.push_back(pack(fbb, piece));
-            const auto waits = timelyWaits(it.waits);
+            const auto waits = packTimelyWaits(it.waits);
             return wrap(wire::Body::PiecesMade,
                 wire::CreatePiecesMadeDirect(fbb, pack(fbb, sender), it.group.value(), &pieces,
                     it.service.value().c_str(), &waits, microseconds(it.waits.late)));
@@ -157,7 +157,7 @@
                 wire::CreateTableNewsDirect(fbb, pack(fbb, it.sender), it.table.c_str(), it.after, it.answer.version,
                     microseconds(it.answer.storeTime), &rows));
         }
-        auto operator()(const PieceNews& it) const { return std::visit(PieceNewsPacker { fbb, it.sender }, it.news); }
+        auto operator()(const PieceNews& it) const { return std::visit(PieceUpdatePacker { fbb, it.sender }, it.news); }
         auto operator()(const Ping& it) const
         {
             return wrap(wire::Body::Ping,
@@ -194,7 +194,7 @@
         }
     };
 
-    std::string textOf(const flatbuffers::String* text)
+    std::string stringOrEmpty(const flatbuffers::String* text)
     {
         return text == nullptr ? std::string() : text->str();
     }
@@ -204,9 +204,9 @@
         Member out;
         if (member == nullptr)
             return out;
-        out.id = InstanceId(textOf(member->id()));
-        out.peers = { textOf(member->host()), member->port() };
-        out.zone = AvailabilityZoneId(textOf(member->zone()));
+        out.id = InstanceId(stringOrEmpty(member->id()));
+        out.peers = { stringOrEmpty(member->host()), member->port() };
+        out.zone = AvailabilityZoneId(stringOrEmpty(member->zone()));
         out.incarnation = Incarnation(member->incarnation());
         out.state = static_cast<MemberState>(
             std::min<std::uint8_t>(member->state(), static_cast<std::uint8_t>(MemberState::Dead)));
@@ -227,7 +227,7 @@
         }
         if (const auto* servers = digest->servers()) {
             for (const auto* it : *servers)
-                out.servers.push_back({ BackendServerId(textOf(it->server())), it->leaving(), it->sequence() });
+                out.servers.push_back({ BackendServerId(stringOrEmpty(it->server())), it->leaving(), it->sequence() });
         }
         return out;
     }
@@ -238,7 +238,7 @@
         if (rates == nullptr)
             return out;
         for (const auto* it : *rates)
-            out.push_back({ ClientAccountId(textOf(it->account())), it->per_second() });
+            out.push_back({ ClientAccountId(stringOrEmpty(it->account())), it->per_second() });
         return out;
     }
 
@@ -249,25 +249,26 @@
             return out;
         for (const auto* it : *patches)
             out.push_back({ ConfigVersion(it->from()), ConfigVersion(it->to()), it->head(), it->tail(),
-                textOf(it->middle()), textOf(it->hash()) });
+                stringOrEmpty(it->middle()), stringOrEmpty(it->hash()) });
         return out;
     }
 
-    serving::PiecesAsked unpack(const wire::PiecesAsked& asked)
+    serving::PiecesAsked unpack(const wire::PiecesAsked& request)
     {
         serving::PiecesAsked out;
-        out.group = serving::PieceGroupId(asked.group());
-        out.service = ServiceId(textOf(asked.service()));
-        out.priority = asked.priority();
-        out.goalLeft = std::chrono::microseconds(asked.goal_us());
-        out.timeLeft = std::chrono::microseconds(asked.left_us());
-        out.preferredZone = AvailabilityZoneId(textOf(asked.zone()));
-        out.zoneLeft = std::chrono::microseconds(asked.zone_us());
-        out.resultBytes = asked.result_bytes();
-        if (asked.pieces() == nullptr)
+        out.group = serving::PieceGroupId(request.group());
+        out.service = ServiceId(stringOrEmpty(request.service()));
+        out.priority = request.priority();
+        out.goalLeft = std::chrono::microseconds(request.goal_us());
+        out.timeLeft = std::chrono::microseconds(request.left_us());
+        out.preferredZone = AvailabilityZoneId(stringOrEmpty(request.zone()));
+        out.zoneLeft = std::chrono::microseconds(request.zone_us());
+        out.resultBytes = request.result_bytes();
+        if (request.pieces() == nullptr)
             return out;
-        for (const auto* it : *asked.pieces()) {
-            serving::Piece piece { textOf(it->request()), it->stage(), it->index(), textOf(it->key()), {} };
+        for (const auto* it : *request.pieces()) {
+            serving::Piece piece { stringOrEmpty(it->request()), it->stage(), it->index(), stringOrEmpty(it->key()),
+                {} };
             if (it->inputs() != nullptr) {
                 for (const auto* input : *it->inputs())
                     piece.inputs.push_back(input->str());
@@ -277,7 +278,7 @@
         return out;
     }
 
-    /// The waits of a message that tells them.
+    /// Reads the queue waits from a message that contains them.
     template <class T> serving::QueueWaits unpackWaits(const T& message)
     {
         serving::QueueWaits waits;
@@ -288,22 +289,22 @@
         return waits;
     }
 
-    serving::PiecesTaken unpack(const wire::PiecesTaken& taken)
+    serving::PiecesTaken unpack(const wire::PiecesTaken& ack)
     {
-        return { serving::PieceGroupId(taken.group()), unpackWaits(taken) };
+        return { serving::PieceGroupId(ack.group()), unpackWaits(ack) };
     }
 
-    serving::PiecesMade unpack(const wire::PiecesMade& made)
+    serving::PiecesMade unpack(const wire::PiecesMade& result)
     {
-        serving::PiecesMade out { serving::PieceGroupId(made.group()), ServiceId(textOf(made.service())), {},
-            unpackWaits(made) };
-        if (made.pieces() == nullptr)
+        serving::PiecesMade out { serving::PieceGroupId(result.group()), ServiceId(stringOrEmpty(result.service())), {},
+            unpackWaits(result) };
+        if (result.pieces() == nullptr)
             return out;
-        for (const auto* it : *made.pieces()) {
-            if (const auto handle = textOf(it->handle()); !handle.empty()) {
-                const config::BackendServer maker { BackendServerId(textOf(it->server())), textOf(it->host()),
-                    it->port(), AvailabilityZoneId(textOf(it->zone())) };
-                out.pieces.push_back({ it->index(), serving::ResultHandle { handle, maker, out.service } });
+        for (const auto* it : *result.pieces()) {
+            if (const auto handle = stringOrEmpty(it->handle()); !handle.empty()) {
+                const config::BackendServer producer { BackendServerId(stringOrEmpty(it->server())),
+                    stringOrEmpty(it->host()), it->port(), AvailabilityZoneId(stringOrEmpty(it->zone())) };
+                out.pieces.push_back({ it->index(), serving::ResultHandle { handle, producer, out.service } });
             } else {
                 const auto last = static_cast<std::uint8_t>(serving::PieceFailure::Failed);
                 out.pieces.push_back(
@@ -313,29 +314,29 @@
         return out;
     }
 
-    serving::ReleaseResults unpack(const wire::ResultsReleased& released)
+    serving::ReleaseResults unpack(const wire::ResultsReleased& release)
     {
-        serving::ReleaseResults out { ServiceId(textOf(released.service())),
-            { BackendServerId(textOf(released.server())), textOf(released.host()), released.port(),
-                AvailabilityZoneId(textOf(released.zone())) },
+        serving::ReleaseResults out { ServiceId(stringOrEmpty(release.service())),
+            { BackendServerId(stringOrEmpty(release.server())), stringOrEmpty(release.host()), release.port(),
+                AvailabilityZoneId(stringOrEmpty(release.zone())) },
             {} };
-        if (const auto* handles = released.handles()) {
+        if (const auto* handles = release.handles()) {
             for (const auto* it : *handles)
                 out.handles.push_back(it->str());
         }
         return out;
     }
 
-    TableNews unpack(const wire::TableNews& news)
+    TableNews unpack(const wire::TableNews& update)
     {
-        TableNews out { unpack(news.sender()), textOf(news.table()), news.after(), {} };
+        TableNews out { unpack(update.sender()), stringOrEmpty(update.table()), update.after(), {} };
         out.answer.end = store::FeedEnd::Answered;
-        out.answer.version = news.version();
-        out.answer.storeTime = std::chrono::microseconds(news.store_us());
-        if (news.rows() == nullptr)
+        out.answer.version = update.version();
+        out.answer.storeTime = std::chrono::microseconds(update.store_us());
+        if (update.rows() == nullptr)
             return out;
-        for (const auto* it : *news.rows()) {
-            store::FeedRow row { textOf(it->key()), std::nullopt };
+        for (const auto* it : *update.rows()) {
+            store::FeedRow row { stringOrEmpty(it->key()), std::nullopt };
             if (!it->deleted())
                 row.value
                     = it->value() == nullptr ? std::string() : std::string(it->value()->begin(), it->value()->end());
@@ -344,7 +345,7 @@
         return out;
     }
 
-    std::optional<Message> unpackPieceNews(const wire::Envelope& envelope)
+    std::optional<Message> unpackPieceUpdate(const wire::Envelope& envelope)
     {
         if (const auto* it = envelope.body_as_PiecesAsked())
             return PieceNews { unpack(it->sender()), unpack(*it) };
@@ -375,37 +376,37 @@
 
 Result<Message> decodeMessage(std::span<const std::uint8_t> bytes)
 {
-    if (bytes.size() > largestMessageBytes)
-        return fail(Errc::TooLarge, "a message of a peer is too large");
-    flatbuffers::Verifier verifier(bytes.data(), bytes.size(), deepestNesting, mostTables);
+    if (bytes.size() > maxMessageBytes)
+        return fail(Errc::TooLarge, "peer message exceeds the maximum size");
+    flatbuffers::Verifier verifier(bytes.data(), bytes.size(), maxNestingDepth, maxTables);
     if (bytes.size() < sizeof(std::uint64_t) || !wire::EnvelopeBufferHasIdentifier(bytes.data())
         || !wire::VerifyEnvelopeBuffer(verifier))
-        return fail(Errc::ParseFailed, "a message of a peer is garbled");
+        return fail(Errc::ParseFailed, "peer message failed FlatBuffers verification");
     const auto* envelope = wire::GetEnvelope(bytes.data());
     if (const auto* it = envelope->body_as_Ping()) {
-        Ping ping { it->sequence(), InstanceId(textOf(it->target())), unpack(it->digest()) };
+        Ping ping { it->sequence(), InstanceId(stringOrEmpty(it->target())), unpack(it->digest()) };
         if (hasSender(ping.digest))
             return Message(std::move(ping));
     } else if (const auto* ack = envelope->body_as_Ack()) {
-        Ack out { ack->sequence(), InstanceId(textOf(ack->target())), unpack(ack->digest()) };
+        Ack out { ack->sequence(), InstanceId(stringOrEmpty(ack->target())), unpack(ack->digest()) };
         if (hasSender(out.digest))
             return Message(std::move(out));
     } else if (const auto* request = envelope->body_as_ConfigRequest()) {
         return Message(ConfigRequest {
             unpack(request->sender()), ConfigVersion(request->version()), ConfigVersion(request->have()) });
     } else if (const auto* reply = envelope->body_as_ConfigReply()) {
-        return Message(ConfigReply {
-            ConfigVersion(reply->version()), textOf(reply->text()), textOf(reply->hash()), unpack(reply->patches()) });
+        return Message(ConfigReply { ConfigVersion(reply->version()), stringOrEmpty(reply->text()),
+            stringOrEmpty(reply->hash()), unpack(reply->patches()) });
     } else if (const auto* demand = envelope->body_as_Demand()) {
         return Message(Demand { unpack(demand->sender()), unpack(demand->rates()) });
     } else if (const auto* allowance = envelope->body_as_Allowance()) {
         return Message(Allowance { unpack(allowance->rates()) });
     } else if (const auto* table = envelope->body_as_TableNews()) {
         return Message(unpack(*table));
-    } else if (auto news = unpackPieceNews(*envelope)) {
-        return std::move(*news);
+    } else if (auto pieceUpdate = unpackPieceUpdate(*envelope)) {
+        return std::move(*pieceUpdate);
     }
-    return fail(Errc::ParseFailed, "a message of a peer is of an unknown kind");
+    return fail(Errc::ParseFailed, "peer message has an unknown type or no sender");
 }
 
 } // namespace foxtailwheel::peer
--- a/src/foxtailwheel/peer/Network.cpp
+++ b/src/foxtailwheel/peer/Network.cpp
@@ -31,17 +31,17 @@
 
     using namespace std::chrono_literals;
 
-    constexpr auto token = net::as_tuple(net::use_awaitable);
+    constexpr auto completionToken = net::as_tuple(net::use_awaitable);
     constexpr Duration connectTimeout = 500ms;
     constexpr Duration handshakeTimeout = 2s;
     constexpr Duration writeTimeout = 3s;
-    /// Bytes that stay unacknowledged this long break the connection: the other end has gone silent.
-    constexpr unsigned unacknowledgedMilliseconds = 1000;
+    /// TCP_USER_TIMEOUT: the connection fails if sent data stays unacknowledged for this long.
+    constexpr unsigned tcpUserTimeoutMilliseconds = 1000;
     constexpr Duration readIdleTimeout = 60s;
-    constexpr Duration longestIdle = 30s;
-    constexpr std::size_t mostQueuedBytes = 16U << 20U;
-    constexpr std::size_t mostIncoming = 4096;
-    constexpr std::size_t lengthBytes = 4;
+    constexpr Duration maxIdleTime = 30s;
+    constexpr std::size_t maxQueuedBytes = 16U << 20U;
+    constexpr std::size_t maxIncomingConnections = 4096;
+    constexpr std::size_t lengthPrefixBytes = 4;
 
     struct Counters {
         std::array<std::atomic<std::uint64_t>, 5> refused {};
@@ -52,27 +52,27 @@
         std::atomic<std::size_t> incoming { 0 };
         std::atomic<bool> closing { false };
 
-        void refuse(Refusal refusal) { ++refused.at(static_cast<std::size_t>(refusal)); }
+        void countRefusal(RefusalReason refusal) { ++refused.at(static_cast<std::size_t>(refusal)); }
     };
 
-    std::string frameOf(const std::string& body)
+    std::string encodeFrame(const std::string& body)
     {
         std::string frame;
-        for (std::size_t i = 0; i < lengthBytes; ++i)
+        for (std::size_t i = 0; i < lengthPrefixBytes; ++i)
             frame.push_back(static_cast<char>(body.size() >> (8 * i)));
         return frame + body;
     }
 
-    std::size_t lengthOf(const std::array<std::uint8_t, lengthBytes>& bytes)
+    std::size_t decodeLength(const std::array<std::uint8_t, lengthPrefixBytes>& bytes)
     {
         std::size_t n = 0;
-        for (std::size_t i = 0; i < lengthBytes; ++i)
+        for (std::size_t i = 0; i < lengthPrefixBytes; ++i)
             n |= static_cast<std::size_t>(bytes.at(i)) << (8 * i);
         return n;
     }
 
-    /// Frames go one way, so anything to read is the connection's end.
-    bool stillOpen(tcp::socket& socket)
+    /// Peers never send frames on an outgoing connection, so a readable socket means that the connection has ended.
+    bool isOpen(tcp::socket& socket)
     {
         char byte = 0;
         boost::system::error_code ec;
@@ -81,12 +81,12 @@
         return ec == net::error::would_block;
     }
 
-    /// Frames on their way to one peer, over one connection that is made anew when it breaks.
-    class Outgoing : public std::enable_shared_from_this<Outgoing> {
+    /// Queue of frames to one peer and the connection that carries them; reconnects after a failure.
+    class OutgoingConnection : public std::enable_shared_from_this<OutgoingConnection> {
     public:
-        Outgoing(net::io_context& context, config::Endpoint to, std::string key, std::shared_ptr<Counters> counters,
-            Network::Closed closed)
-            : m_closed(std::move(closed))
+        OutgoingConnection(net::io_context& context, config::Endpoint to, std::string key,
+            std::shared_ptr<Counters> counters, Network::DisconnectHandler onDisconnect)
+            : m_onDisconnect(std::move(onDisconnect))
             , m_strand(net::make_strand(context))
             , m_to(std::move(to))
             , m_key(std::move(key))
@@ -98,12 +98,12 @@
         void close();
 
     private:
-        net::awaitable<void> drain();
+        net::awaitable<void> writeQueuedFrames();
         net::awaitable<bool> connect();
-        net::awaitable<bool> shakeHands();
-        void watch();
+        net::awaitable<bool> performHandshake();
+        void watchForDisconnect();
 
-        Network::Closed m_closed;
+        Network::DisconnectHandler m_onDisconnect;
         net::strand<net::io_context::executor_type> m_strand;
         config::Endpoint m_to;
         std::string m_key;
@@ -111,27 +111,28 @@
         std::unique_ptr<beast::tcp_stream> m_stream;
         std::deque<std::string> m_queue;
         std::size_t m_queuedBytes = 0;
-        bool m_draining = false;
-        std::chrono::steady_clock::time_point m_usedAt {};
+        bool m_writing = false;
+        std::chrono::steady_clock::time_point m_lastUsedAt {};
     };
 
-    void Outgoing::send(std::string frame)
+    void OutgoingConnection::send(std::string frame)
     {
         net::post(m_strand, [self = shared_from_this(), frame = std::move(frame)]() mutable {
-            if (self->m_queuedBytes + frame.size() > mostQueuedBytes || self->m_counters->closing) {
+            if (self->m_queuedBytes + frame.size() > maxQueuedBytes || self->m_counters->closing) {
                 ++self->m_counters->droppedFrames;
                 return;
             }
             self->m_queuedBytes += frame.size();
             self->m_queue.push_back(std::move(frame));
-            if (std::exchange(self->m_draining, true))
+            if (std::exchange(self->m_writing, true))
                 return;
             net::co_spawn(
-                self->m_strand, [self]() -> net::awaitable<void> { co_await self->drain(); }, net::detached);
+                self->m_strand, [self]() -> net::awaitable<void> { co_await self->writeQueuedFrames(); },
+                net::detached);
         });
     }
 
-    void Outgoing::close()
+    void OutgoingConnection::close()
     {
         net::post(m_strand, [self = shared_from_this()] {
             if (self->m_stream)
@@ -139,7 +140,7 @@
         });
     }
 
-    net::awaitable<bool> Outgoing::connect()
+    net::awaitable<bool> OutgoingConnection::connect()
     {
         boost::system::error_code ec;
         const auto address = net::ip::make_address(m_to.host, ec);
@@ -147,22 +148,22 @@
             co_return false;
         m_stream = std::make_unique<beast::tcp_stream>(m_strand);
         m_stream->expires_after(connectTimeout);
-        auto [connectError] = co_await m_stream->async_connect(tcp::endpoint(address, m_to.port), token);
+        auto [connectError] = co_await m_stream->async_connect(tcp::endpoint(address, m_to.port), completionToken);
         if (connectError)
             co_return false;
         m_stream->socket().set_option(tcp::no_delay(true), ec);
-        setsockopt(m_stream->socket().native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &unacknowledgedMilliseconds,
-            sizeof unacknowledgedMilliseconds);
-        const bool proven = co_await shakeHands();
-        if (proven)
-            watch();
-        co_return proven;
+        setsockopt(m_stream->socket().native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &tcpUserTimeoutMilliseconds,
+            sizeof tcpUserTimeoutMilliseconds);
+        const bool authenticated = co_await performHandshake();
+        if (authenticated)
+            watchForDisconnect();
+        co_return authenticated;
     }
 
-    /// Tells when the other end closes the connection.
-    void Outgoing::watch()
+    /// Calls the disconnect handler when the peer closes the connection.
+    void OutgoingConnection::watchForDisconnect()
     {
-        if (!m_closed)
+        if (!m_onDisconnect)
             return;
         m_stream->socket().async_wait(tcp::socket::wait_read,
             [weak = weak_from_this(), stream = m_stream.get()](const boost::system::error_code& ec) {
@@ -170,44 +171,45 @@
                 if (!self || self->m_counters->closing || ec == net::error::operation_aborted
                     || self->m_stream.get() != stream)
                     return;
-                self->m_closed(self->m_to);
+                self->m_onDisconnect(self->m_to);
             });
     }
 
-    net::awaitable<bool> Outgoing::shakeHands()
+    net::awaitable<bool> OutgoingConnection::performHandshake()
     {
-        const auto mine = freshNonce();
-        std::array<std::uint8_t, greeting.size() + proofBytes> hello {};
-        std::copy(greeting.begin(), greeting.end(), hello.begin());
-        std::copy(mine.begin(), mine.end(), hello.begin() + greeting.size());
+        const auto ownNonce = generateNonce();
+        std::array<std::uint8_t, protocolMagic.size() + proofBytes> hello {};
+        std::copy(protocolMagic.begin(), protocolMagic.end(), hello.begin());
+        std::copy(ownNonce.begin(), ownNonce.end(), hello.begin() + protocolMagic.size());
         m_stream->expires_after(handshakeTimeout);
-        auto [helloError, helloBytes] = co_await net::async_write(*m_stream, net::buffer(hello), token);
+        auto [helloError, helloBytes] = co_await net::async_write(*m_stream, net::buffer(hello), completionToken);
         if (helloError)
             co_return false;
-        std::array<std::uint8_t, 2 * proofBytes> answer {};
-        auto [answerError, answerBytes] = co_await net::async_read(*m_stream, net::buffer(answer), token);
-        if (answerError)
+        std::array<std::uint8_t, 2 * proofBytes> response {};
+        auto [responseError, responseBytes]
+            = co_await net::async_read(*m_stream, net::buffer(response), completionToken);
+        if (responseError)
             co_return false;
-        Nonce theirs {};
-        Proof proof {};
-        std::copy_n(answer.begin(), proofBytes, theirs.begin());
-        std::copy_n(answer.begin() + proofBytes, proofBytes, proof.begin());
-        if (!sameProof(proof, prove(m_key, "listener", theirs, mine))) {
-            m_counters->refuse(Refusal::WrongKey);
+        Nonce peerNonce {};
+        Proof peerProof {};
+        std::copy_n(response.begin(), proofBytes, peerNonce.begin());
+        std::copy_n(response.begin() + proofBytes, proofBytes, peerProof.begin());
+        if (!proofsEqual(peerProof, computeProof(m_key, "listener", peerNonce, ownNonce))) {
+            m_counters->countRefusal(RefusalReason::WrongKey);
             co_return false;
         }
-        const auto own = prove(m_key, "connector", mine, theirs);
-        auto [proofError, proofSent] = co_await net::async_write(*m_stream, net::buffer(own), token);
+        const auto ownProof = computeProof(m_key, "connector", ownNonce, peerNonce);
+        auto [proofError, proofSent] = co_await net::async_write(*m_stream, net::buffer(ownProof), completionToken);
         co_return !proofError;
     }
 
-    net::awaitable<void> Outgoing::drain()
+    net::awaitable<void> OutgoingConnection::writeQueuedFrames()
     {
         while (!m_queue.empty()) {
             const auto now = std::chrono::steady_clock::now();
-            // The other end closes an idle connection, and what is written after that is lost without an error.
-            bool connected = m_stream != nullptr && stillOpen(m_stream->socket()) && now - m_usedAt < longestIdle;
-            m_usedAt = now;
+            // The peer closes idle connections, and a frame written after that would be lost without an error.
+            bool connected = m_stream != nullptr && isOpen(m_stream->socket()) && now - m_lastUsedAt < maxIdleTime;
+            m_lastUsedAt = now;
             if (!connected)
                 connected = co_await connect();
             const auto frame = std::move(m_queue.front());
@@ -219,7 +221,7 @@
                 continue;
             }
             m_stream->expires_after(writeTimeout);
-            auto [ec, n] = co_await net::async_write(*m_stream, net::buffer(frame), token);
+            auto [ec, n] = co_await net::async_write(*m_stream, net::buffer(frame), completionToken);
             m_stream->expires_never();
             if (ec) {
                 m_stream.reset();
@@ -229,115 +231,117 @@
             ++m_counters->sentFrames;
             m_counters->sentBytes += frame.size();
         }
-        m_draining = false;
+        m_writing = false;
     }
 
-    /// One connection that a peer has made; frames only come in.
-    class Incoming {
+    /// A connection accepted from a peer; carries frames in one direction only, from the peer.
+    class IncomingConnection {
     public:
-        Incoming(
-            tcp::socket socket, const std::string& key, Network::Receive receive, std::shared_ptr<Counters> counters)
+        IncomingConnection(tcp::socket socket, const std::string& key, Network::MessageHandler onMessage,
+            std::shared_ptr<Counters> counters)
             : m_stream(std::move(socket))
             , m_key(key)
-            , m_receive(std::move(receive))
+            , m_onMessage(std::move(onMessage))
             , m_counters(std::move(counters))
         {
             ++m_counters->incoming;
         }
-        ~Incoming() { --m_counters->incoming; }
-        Incoming(const Incoming&) = delete;
-        Incoming& operator=(const Incoming&) = delete;
+        ~IncomingConnection() { --m_counters->incoming; }
+        IncomingConnection(const IncomingConnection&) = delete;
+        IncomingConnection& operator=(const IncomingConnection&) = delete;
 
         net::awaitable<void> serve();
 
     private:
-        net::awaitable<bool> shakeHands();
+        net::awaitable<bool> performHandshake();
         net::awaitable<bool> readFrame();
 
         beast::tcp_stream m_stream;
         const std::string& m_key;
-        Network::Receive m_receive;
+        Network::MessageHandler m_onMessage;
         std::shared_ptr<Counters> m_counters;
     };
 
-    net::awaitable<bool> Incoming::shakeHands()
+    net::awaitable<bool> IncomingConnection::performHandshake()
     {
         m_stream.expires_after(handshakeTimeout);
-        std::array<std::uint8_t, greeting.size() + proofBytes> hello {};
-        auto [helloError, helloBytes] = co_await net::async_read(m_stream, net::buffer(hello), token);
+        std::array<std::uint8_t, protocolMagic.size() + proofBytes> hello {};
+        auto [helloError, helloBytes] = co_await net::async_read(m_stream, net::buffer(hello), completionToken);
         if (helloError)
             co_return false;
-        if (!std::equal(greeting.begin(), greeting.end(), hello.begin())) {
-            m_counters->refuse(Refusal::WrongProtocol);
+        if (!std::equal(protocolMagic.begin(), protocolMagic.end(), hello.begin())) {
+            m_counters->countRefusal(RefusalReason::WrongProtocol);
             co_return false;
         }
-        Nonce theirs {};
-        std::copy_n(hello.begin() + greeting.size(), proofBytes, theirs.begin());
-        const auto mine = freshNonce();
-        const auto own = prove(m_key, "listener", mine, theirs);
-        std::array<std::uint8_t, 2 * proofBytes> answer {};
-        std::copy(mine.begin(), mine.end(), answer.begin());
-        std::copy(own.begin(), own.end(), answer.begin() + proofBytes);
-        auto [answerError, answerBytes] = co_await net::async_write(m_stream, net::buffer(answer), token);
-        if (answerError)
+        Nonce peerNonce {};
+        std::copy_n(hello.begin() + protocolMagic.size(), proofBytes, peerNonce.begin());
+        const auto ownNonce = generateNonce();
+        const auto ownProof = computeProof(m_key, "listener", ownNonce, peerNonce);
+        std::array<std::uint8_t, 2 * proofBytes> response {};
+        std::copy(ownNonce.begin(), ownNonce.end(), response.begin());
+        std::copy(ownProof.begin(), ownProof.end(), response.begin() + proofBytes);
+        auto [responseError, responseBytes]
+            = co_await net::async_write(m_stream, net::buffer(response), completionToken);
+        if (responseError)
             co_return false;
-        Proof proof {};
-        auto [proofError, proofRead] = co_await net::async_read(m_stream, net::buffer(proof), token);
+        Proof peerProof {};
+        auto [proofError, proofRead] = co_await net::async_read(m_stream, net::buffer(peerProof), completionToken);
         if (proofError)
             co_return false;
-        const bool proven = sameProof(proof, prove(m_key, "connector", theirs, mine));
-        if (!proven)
-            m_counters->refuse(Refusal::WrongKey);
-        co_return proven;
+        const bool authenticated = proofsEqual(peerProof, computeProof(m_key, "connector", peerNonce, ownNonce));
+        if (!authenticated)
+            m_counters->countRefusal(RefusalReason::WrongKey);
+        co_return authenticated;
     }
 
-    net::awaitable<bool> Incoming::readFrame()
+    net::awaitable<bool> IncomingConnection::readFrame()
     {
         m_stream.expires_after(readIdleTimeout);
-        std::array<std::uint8_t, lengthBytes> length {};
-        auto [lengthError, lengthRead] = co_await net::async_read(m_stream, net::buffer(length), token);
+        std::array<std::uint8_t, lengthPrefixBytes> length {};
+        auto [lengthError, lengthRead] = co_await net::async_read(m_stream, net::buffer(length), completionToken);
         if (lengthError) {
             if (lengthRead > 0)
-                m_counters->refuse(Refusal::CutFrame);
+                m_counters->countRefusal(RefusalReason::TruncatedFrame);
             co_return false;
         }
-        const auto n = lengthOf(length);
-        if (n > largestMessageBytes) {
-            m_counters->refuse(Refusal::OversizedFrame);
+        const auto n = decodeLength(length);
+        if (n > maxMessageBytes) {
+            m_counters->countRefusal(RefusalReason::OversizedFrame);
             co_return false;
         }
         std::vector<std::uint8_t> body(n);
-        auto [bodyError, bodyRead] = co_await net::async_read(m_stream, net::buffer(body), token);
+        auto [bodyError, bodyRead] = co_await net::async_read(m_stream, net::buffer(body), completionToken);
         if (bodyError) {
-            m_counters->refuse(Refusal::CutFrame);
+            m_counters->countRefusal(RefusalReason::TruncatedFrame);
             co_return false;
         }
         auto message = decodeMessage(body);
         if (!message.has_value()) {
-            m_counters->refuse(Refusal::GarbledFrame);
+            m_counters->countRefusal(RefusalReason::MalformedFrame);
             co_return false;
         }
         ++m_counters->receivedFrames;
-        m_receive(std::move(message).value());
+        m_onMessage(std::move(message).value());
         co_return true;
     }
 
-    net::awaitable<void> Incoming::serve()
+    net::awaitable<void> IncomingConnection::serve()
     {
-        bool usable = co_await shakeHands();
-        while (usable && !m_counters->closing)
-            usable = co_await readFrame();
+        bool connected = co_await performHandshake();
+        while (connected && !m_counters->closing)
+            connected = co_await readFrame();
         m_stream.close();
     }
 
-    class TcpNetwork final : public Network {
+    class TcpTransport final : public Network {
     public:
-        TcpNetwork(net::io_context& context, std::string key, Receive receive, Closed closed)
+        TcpTransport(
+            net::io_context& context, std::string key, MessageHandler onMessage, DisconnectHandler onDisconnect)
             : m_context(context)
             , m_acceptor(net::make_strand(context))
             , m_key(std::move(key))
-            , m_receive(std::move(receive))
-            , m_closed(std::move(closed))
+            , m_onMessage(std::move(onMessage))
+            , m_onDisconnect(std::move(onDisconnect))
         {
         }
 
@@ -348,19 +352,19 @@
         std::uint16_t port() const override;
 
     private:
-        net::awaitable<void> acceptAll();
+        net::awaitable<void> acceptConnections();
 
         net::io_context& m_context;
         tcp::acceptor m_acceptor;
         std::string m_key;
-        Receive m_receive;
-        Closed m_closed;
+        MessageHandler m_onMessage;
+        DisconnectHandler m_onDisconnect;
         std::shared_ptr<Counters> m_counters = std::make_shared<Counters>();
         std::mutex m_mutex;
-        std::map<config::Endpoint, std::shared_ptr<Outgoing>> m_outgoing;
+        std::map<config::Endpoint, std::shared_ptr<OutgoingConnection>> m_outgoing;
     };
 
-    boost::system::error_code TcpNetwork::open(const config::Endpoint& address)
+    boost::system::error_code TcpTransport::open(const config::Endpoint& address)
     {
         boost::system::error_code ec;
         const auto host = net::ip::make_address(address.host, ec);
@@ -374,39 +378,40 @@
             m_acceptor.listen(tcp::acceptor::max_listen_connections, ec);
         if (!ec)
             net::co_spawn(
-                m_acceptor.get_executor(), [this]() -> net::awaitable<void> { co_await acceptAll(); }, net::detached);
+                m_acceptor.get_executor(), [this]() -> net::awaitable<void> { co_await acceptConnections(); },
+                net::detached);
         return ec;
     }
 
-    net::awaitable<void> TcpNetwork::acceptAll()
+    net::awaitable<void> TcpTransport::acceptConnections()
     {
         while (!m_counters->closing) {
-            auto [ec, socket] = co_await m_acceptor.async_accept(net::make_strand(m_context), token);
+            auto [ec, socket] = co_await m_acceptor.async_accept(net::make_strand(m_context), completionToken);
             if (ec == net::error::operation_aborted || ec == net::error::bad_descriptor)
                 co_return;
-            if (ec || m_counters->incoming >= mostIncoming)
+            if (ec || m_counters->incoming >= maxIncomingConnections)
                 continue;
             const auto executor = socket.get_executor();
-            auto incoming = std::make_shared<Incoming>(std::move(socket), m_key, m_receive, m_counters);
+            auto incoming = std::make_shared<IncomingConnection>(std::move(socket), m_key, m_onMessage, m_counters);
             net::co_spawn(
                 executor, [incoming]() -> net::awaitable<void> { co_await incoming->serve(); }, net::detached);
         }
     }
 
-    void TcpNetwork::send(const config::Endpoint& to, const Message& message)
+    void TcpTransport::send(const config::Endpoint& to, const Message& message)
     {
-        std::shared_ptr<Outgoing> outgoing;
+        std::shared_ptr<OutgoingConnection> outgoing;
         {
             const std::lock_guard lock(m_mutex);
-            auto& known = m_outgoing[to];
-            if (!known)
-                known = std::make_shared<Outgoing>(m_context, to, m_key, m_counters, m_closed);
-            outgoing = known;
+            auto& connection = m_outgoing[to];
+            if (!connection)
+                connection = std::make_shared<OutgoingConnection>(m_context, to, m_key, m_counters, m_onDisconnect);
+            outgoing = connection;
         }
-        outgoing->send(frameOf(encodeMessage(message)));
+        outgoing->send(encodeFrame(encodeMessage(message)));
     }
 
-    void TcpNetwork::close()
+    void TcpTransport::close()
     {
         m_counters->closing = true;
         net::post(m_acceptor.get_executor(), [this] {
@@ -418,7 +423,7 @@
             it.second->close();
     }
 
-    NetworkCounts TcpNetwork::counts() const
+    NetworkCounts TcpTransport::counts() const
     {
         NetworkCounts counts;
         for (std::size_t i = 0; i < counts.refused.size(); ++i)
@@ -430,7 +435,7 @@
         return counts;
     }
 
-    std::uint16_t TcpNetwork::port() const
+    std::uint16_t TcpTransport::port() const
     {
         boost::system::error_code ec;
         return m_acceptor.local_endpoint(ec).port();
@@ -438,13 +443,14 @@
 
 } // namespace
 
-Result<std::unique_ptr<Network>> Network::listen(
-    http::IoPool& pool, const config::Endpoint& address, std::string key, Receive receive, Closed closed)
+Result<std::unique_ptr<Network>> Network::listen(http::IoPool& pool, const config::Endpoint& address, std::string key,
+    MessageHandler onMessage, DisconnectHandler onDisconnect)
 {
-    auto network = std::make_unique<TcpNetwork>(pool.context(), std::move(key), std::move(receive), std::move(closed));
-    if (const auto ec = network->open(address))
+    auto transport
+        = std::make_unique<TcpTransport>(pool.context(), std::move(key), std::move(onMessage), std::move(onDisconnect));
+    if (const auto ec = transport->open(address))
         return fail(Errc::Unreachable, "cannot listen on " + address.toString() + ": " + ec.message());
-    return std::unique_ptr<Network>(std::move(network));
+    return std::unique_ptr<Network>(std::move(transport));
 }
 
 } // namespace foxtailwheel::peer
--- a/src/foxtailwheel/peer/PeerTest.cpp
+++ b/src/foxtailwheel/peer/PeerTest.cpp
@@ -17,25 +17,25 @@
 
 namespace {
 
-constexpr auto patience = 10s;
+constexpr auto receiveTimeout = 10s;
 
-membership::Member memberOf(const std::string& name)
+membership::Member makeMember(const std::string& name)
 {
     return { InstanceId(name), { "127.0.0.1", 7 }, AvailabilityZoneId("a"), Incarnation(5),
         membership::MemberState::Suspect, ConfigVersion(9) };
 }
 
-std::vector<Message> someMessages()
+std::vector<Message> makeMessages()
 {
-    membership::Digest digest { memberOf("x"), { memberOf("y"), memberOf("z") },
+    membership::Digest digest { makeMember("x"), { makeMember("y"), makeMember("z") },
         { { BackendServerId("s"), true, 77 } } };
     return {
         membership::Ping { 3, InstanceId("t"), digest },
         membership::Ack { 4, InstanceId("u"), digest },
-        peer::ConfigRequest { memberOf("x"), ConfigVersion(8), ConfigVersion(7) },
+        peer::ConfigRequest { makeMember("x"), ConfigVersion(8), ConfigVersion(7) },
         peer::ConfigReply {
             ConfigVersion(8), "text", "hash", { { ConfigVersion(7), ConfigVersion(8), 3, 4, "m", "h" } } },
-        peer::Demand { memberOf("x"), { { ClientAccountId("coop"), 1.5 } } },
+        peer::Demand { makeMember("x"), { { ClientAccountId("coop"), 1.5 } } },
         peer::Allowance { { { ClientAccountId("coop"), 2.5 } } },
     };
 }
@@ -45,22 +45,23 @@
     return { reinterpret_cast<const std::uint8_t*>(text.data()), text.size() };
 }
 
-/// Waits until `holds`, without a bound that a slow machine could miss.
-template <class Condition> bool eventually(Condition holds)
+/// Waits until `condition` returns true, for at least 10 s so that a slow machine does not fail the test.
+template <class Condition> bool eventually(Condition condition)
 {
-    for (int i = 0; i < 1000 && !holds(); ++i)
+    for (int i = 0; i < 1000 && !condition(); ++i)
         std::this_thread::sleep_for(10ms);
-    return holds();
+    return condition();
 }
 
-std::unique_ptr<peer::Network> listenWith(http::IoPool& pool, const std::string& key, peer::Network::Receive receive)
+std::unique_ptr<peer::Network> listenWith(
+    http::IoPool& pool, const std::string& key, peer::Network::MessageHandler onMessage)
 {
-    auto network = peer::Network::listen(pool, { "127.0.0.1", 0 }, key, std::move(receive));
+    auto network = peer::Network::listen(pool, { "127.0.0.1", 0 }, key, std::move(onMessage));
     cr_assert(network.has_value());
     return std::move(network).value();
 }
 
-/// Sends raw bytes to a listener and closes.
+/// Sends raw bytes to a listener and closes the connection.
 void sendRaw(std::uint16_t port, const std::string& bytes)
 {
     boost::asio::io_context context;
@@ -71,21 +72,21 @@
 
 } // namespace
 
-Test(PeerMessage, survivesItsBytes)
+Test(PeerMessage, encodingRoundTrips)
 {
-    for (const auto& it : someMessages()) {
-        const auto read = peer::decodeMessage(bytesOf(peer::encodeMessage(it)));
-        cr_assert(read.has_value());
-        cr_assert(read.value() == it);
+    for (const auto& it : makeMessages()) {
+        const auto decoded = peer::decodeMessage(bytesOf(peer::encodeMessage(it)));
+        cr_assert(decoded.has_value());
+        cr_assert(decoded.value() == it);
     }
 }
 
-Test(PeerMessage, cutAndGarbledBytesAreRefusedOrRead)
+Test(PeerMessage, truncatedOrMutatedBytesAreRejectedOrDecoded)
 {
     Random random(20261204);
     std::size_t refused = 0;
     for (int round = 0; round < 20000; ++round) {
-        const auto messages = someMessages();
+        const auto messages = makeMessages();
         auto bytes = peer::encodeMessage(messages[random.below(messages.size())]);
         if (random.chance(0.3))
             bytes.resize(random.below(bytes.size()));
@@ -96,46 +97,46 @@
     cr_assert_gt(refused, 5000U);
 }
 
-Test(PeerMessage, oversizedBytesAreRefused)
+Test(PeerMessage, oversizedBytesAreRejected)
 {
-    const std::string bytes(peer::largestMessageBytes + 1, 'x');
+    const std::string bytes(peer::maxMessageBytes + 1, 'x');
     cr_assert(peer::decodeMessage(bytesOf(bytes)).error().code == make_error_code(Errc::TooLarge));
 }
 
-Test(PeerNetwork, framesArriveBetweenHoldersOfTheKey)
+Test(PeerTransport, framesArriveIfBothEndsHaveTheSameKey)
 {
     const auto pool = http::IoPool::create(2);
-    std::promise<Message> got;
-    auto arrived = got.get_future();
+    std::promise<Message> received;
+    auto arrived = received.get_future();
     const auto listener
-        = listenWith(*pool, "the-shared-secret", [&](Message message) { got.set_value(std::move(message)); });
+        = listenWith(*pool, "the-shared-secret", [&](Message message) { received.set_value(std::move(message)); });
     const auto sender = listenWith(*pool, "the-shared-secret", [](const Message&) {});
-    sender->send({ "127.0.0.1", listener->port() }, someMessages().front());
-    cr_assert(arrived.wait_for(patience) == std::future_status::ready);
-    cr_assert(arrived.get() == someMessages().front());
+    sender->send({ "127.0.0.1", listener->port() }, makeMessages().front());
+    cr_assert(arrived.wait_for(receiveTimeout) == std::future_status::ready);
+    cr_assert(arrived.get() == makeMessages().front());
     pool->stop();
 }
 
-Test(PeerNetwork, aWrongKeyIsRefusedAndCounted)
+Test(PeerTransport, aWrongKeyIsRefusedAndCounted)
 {
     const auto pool = http::IoPool::create(2);
-    const auto listener
-        = listenWith(*pool, "the-shared-secret", [](const Message&) { cr_assert_fail("a frame got through"); });
+    const auto listener = listenWith(*pool, "the-shared-secret",
+        [](const Message&) { cr_assert_fail("the listener received a frame from a peer with a wrong key"); });
     const auto sender = listenWith(*pool, "some-other-secret", [](const Message&) {});
-    sender->send({ "127.0.0.1", listener->port() }, someMessages().front());
-    const auto wrongKey = static_cast<std::size_t>(peer::Refusal::WrongKey);
+    sender->send({ "127.0.0.1", listener->port() }, makeMessages().front());
+    const auto wrongKey = static_cast<std::size_t>(peer::RefusalReason::WrongKey);
     cr_assert(eventually([&] { return sender->counts().refused.at(wrongKey) == 1; }));
     cr_assert(eventually([&] { return sender->counts().droppedFrames == 1; }));
     cr_assert_eq(listener->counts().receivedFrames, 0U);
     pool->stop();
 }
 
-Test(PeerNetwork, anotherProtocolIsRefusedAndCounted)
+Test(PeerTransport, anotherProtocolIsRefusedAndCounted)
 {
     const auto pool = http::IoPool::create(2);
     const auto listener = listenWith(*pool, "the-shared-secret", [](const Message&) {});
     sendRaw(listener->port(), "GET / HTTP/1.1\r\nHost: somewhere\r\n\r\n" + std::string(64, ' '));
-    const auto wrongProtocol = static_cast<std::size_t>(peer::Refusal::WrongProtocol);
+    const auto wrongProtocol = static_cast<std::size_t>(peer::RefusalReason::WrongProtocol);
     cr_assert(eventually([&] { return listener->counts().refused.at(wrongProtocol) == 1; }));
     pool->stop();
 }
