--- a/src/foxtailwheel/peer/PeerTest.cpp
+++ b/src/foxtailwheel/peer/PeerTest.cpp
@@ -56,9 +56,9 @@
 std::unique_ptr<peer::Network> listenWith(
     http::IoPool& pool, const std::string& key, peer::Network::MessageHandler onMessage)
 {
-    auto network = peer::Network::listen(pool, { "127.0.0.1", 0 }, key, std::move(onMessage));
-    cr_assert(network.has_value());
-    return std::move(network).value();
+    auto transport = peer::Network::listen(pool, { "127.0.0.1", 0 }, key, std::move(onMessage));
+    cr_assert(transport.has_value());
+    return std::move(transport).value();
 }
 
 /// Sends raw bytes to a listener and closes the connection.
