--- a/include/foxtailwheel/serving/ZoneForecast.h
+++ b/include/foxtailwheel/serving/ZoneForecast.h
@@ -11,30 +11,31 @@
 
 namespace foxtailwheel::serving {
 
-/// @brief Foretells when pieces would be made by the servers of their own zone, so that a queue can tell which of them
-/// to send to another zone. Made anew for each decision; not thread-safe.
+/// @brief Estimates when the servers of a zone would complete queued pieces, so that a queue can decide which pieces to
+/// send to another zone. Built for a single decision; not thread-safe.
 class ZoneForecast {
 public:
-    /// @param forecast Outlives this object.
-    /// @param pieces Most pieces of one call.
-    ZoneForecast(const BatchForecast& forecast, std::uint32_t pieces)
+    /// @param forecast Must outlive this object.
+    /// @param maxPieces Maximum number of pieces in one call.
+    ZoneForecast(const BatchForecast& forecast, std::uint32_t maxPieces)
         : m_forecast(forecast)
-        , m_pieces(pieces)
+        , m_maxPieces(maxPieces)
     {
     }
 
-    /// @brief A server takes its next call at `freeAt`.
-    void addServer(const AvailabilityZoneId& zone, TimePoint freeAt);
-    /// @brief When a piece would be made in a zone that has `ahead` others before it.
-    /// @return The end of time where the zone has no server.
-    TimePoint madeBy(const AvailabilityZoneId& zone, std::size_t ahead) const;
-    /// @brief True where a piece would not leave with the next call of any server of the zone.
-    bool exceedsNextCalls(const AvailabilityZoneId& zone, std::size_t ahead) const;
+    /// @brief Adds a server that can start its next call at `availableAt`.
+    void addServer(const AvailabilityZoneId& zone, TimePoint availableAt);
+    /// @brief Estimated completion time of a piece in a zone with `piecesAhead` pieces queued before it.
+    /// @return `TimePoint::max()` if the zone has no server.
+    TimePoint madeBy(const AvailabilityZoneId& zone, std::size_t piecesAhead) const;
+    /// @brief True if the next call of each server in the zone would be full before this piece is sent.
+    bool exceedsNextCalls(const AvailabilityZoneId& zone, std::size_t piecesAhead) const;
 
 private:
     const BatchForecast& m_forecast;
-    std::uint32_t m_pieces;
-    std::map<AvailabilityZoneId, std::vector<TimePoint>> m_free; ///< In ascending order.
+    std::uint32_t m_maxPieces;
+    std::map<AvailabilityZoneId, std::vector<TimePoint>>
+        m_availableAt; ///< Start of the next call of each server, in ascending order.
 };
 
 } // namespace foxtailwheel::serving
--- a/src/foxtailwheel/serving/ZoneForecastTest.cpp
+++ b/src/foxtailwheel/serving/ZoneForecastTest.cpp
@@ -14,7 +14,7 @@
 
 } // namespace
 
-Test(ZoneForecast, piecesGoToTheServerThatIsFreeFirstAndThenInRounds)
+Test(ZoneForecast, assignsFullCallsInOrderOfServerAvailability)
 {
     const BatchForecast forecast(tenPieces);
     ZoneForecast zones(forecast, tenPieces.pieces);
@@ -22,10 +22,11 @@
     zones.addServer(zoneA, start);
     cr_assert_eq(zones.madeBy(zoneA, 0), start + 210ms);
     cr_assert_eq(zones.madeBy(zoneA, 10), start + 100ms + 210ms);
-    cr_assert_eq(zones.madeBy(zoneA, 20), start + 300ms + 210ms, "after a full call of the first server");
+    cr_assert_eq(
+        zones.madeBy(zoneA, 20), start + 300ms + 210ms, "the third call starts after a full call of the first server");
 }
 
-Test(ZoneForecast, aZoneWithoutServersMakesNothing)
+Test(ZoneForecast, neverCompletesPiecesInAZoneWithoutServers)
 {
     const BatchForecast forecast(tenPieces);
     const ZoneForecast zones(forecast, tenPieces.pieces);
@@ -33,7 +34,7 @@
     cr_assert(zones.exceedsNextCalls(zoneA, 0));
 }
 
-Test(ZoneForecast, theNextCallsTakeAFullBatchForEachServer)
+Test(ZoneForecast, nextCallsHoldOneFullBatchPerServer)
 {
     const BatchForecast forecast(tenPieces);
     ZoneForecast zones(forecast, tenPieces.pieces);
