--- a/include/foxtailwheel/pipeline/Actions.h
+++ b/include/foxtailwheel/pipeline/Actions.h
@@ -10,37 +10,42 @@
 
 namespace foxtailwheel::pipeline {
 
-/// @brief What a stage is given: the caller's request and the results of the stages it needs.
+/// @brief Input of a stage: the caller's request and the results of the stages it depends on.
 struct StageInput {
-    struct Part {
+    struct DependencyResult {
         ServiceId service;
         Payload result;
     };
 
     Payload request;
-    std::vector<Part> parts; ///< In the order of the stage's dependencies.
+    std::vector<DependencyResult> parts; ///< In the order of `Stage::dependencies`.
 };
 
-/// @brief Start one call to some backend server of a service.
+/// @brief Starts one call to a backend server of a service.
 struct StartCall {
     AttemptId id;
-    const Stage* stage = nullptr; ///< Owned by the run's plan.
+    const Stage* stage = nullptr; ///< Owned by the plan of the run.
     StageInput input;
-    TimePoint deadline; ///< The result is of no use to the caller after it.
-    TimePoint giveUpAt; ///< Until then an answer is waited for; later than `deadline` where it must be recorded.
-    TimePoint sendBy; ///< No byte may be handed to a socket after it.
-    std::uint64_t resumeFrom = 0; ///< Tokens already held; the stream starts after them.
-    std::string textSoFar; ///< Text of those tokens.
+    TimePoint deadline; ///< A later result is of no use to the caller.
+    TimePoint giveUpAt; ///< The call is abandoned at this time; later than `deadline` if the result must be recorded.
+    TimePoint sendBy; ///< The call may not be written to a socket later than this.
+    std::uint64_t resumeFrom = 0; ///< Number of tokens already received; the stream starts after them.
+    std::string textSoFar; ///< Text of the tokens already received.
     bool isExtra = false; ///< True for hedges and retries.
 };
 
-/// @brief Stop one call; its outcome is still reported.
+/// @brief Cancels one call; its outcome is still reported.
 struct CancelCall {
     AttemptId id;
 };
 
-/// @brief What a timer is for.
-enum class TimerKind { Deadline, Hedge, Progress, Linger };
+/// @brief Purpose of a timer.
+enum class TimerKind {
+    Deadline, ///< The deadline of the run.
+    Hedge, ///< A second attempt of a slow call may be started.
+    Progress, ///< A stream must have made progress.
+    Linger, ///< Non-idempotent calls that are still open after the end of the run are cancelled.
+};
 
 /// @brief Identifies a timer of a run.
 struct TimerId {
@@ -50,63 +55,63 @@
     AttemptNumber attempt;
 };
 
-/// @brief Report the timer back at a time; timers are never cancelled, a late one is ignored.
+/// @brief Requests a call of `onTimer` at a time. Timers are never cancelled; an obsolete one is ignored.
 struct SetTimer {
     TimerId id;
     TimePoint at;
 };
 
-/// @brief Claim the right to make one non-idempotent call.
+/// @brief Claims the right to make one non-idempotent call.
 struct InsertClaim {
     RunId run;
     StageIndex stage = 0;
     ServiceId service;
-    TimePoint deadline; ///< The claim is of no use after it.
+    TimePoint deadline; ///< A claim granted later is of no use.
 };
 
-/// @brief How a claimed call ended.
+/// @brief Outcome of a claimed call.
 enum class ClaimEnd { Answered, NotStarted, Unknown };
 
-/// @brief Record how a claimed call ended.
+/// @brief Records the outcome of a claimed call.
 struct RecordClaim {
     RunId run;
     StageIndex stage = 0;
     ServiceId service;
-    ClaimEnd end = ClaimEnd::Unknown;
+    ClaimEnd outcome = ClaimEnd::Unknown;
     Payload answer;
 };
 
-/// @brief Hand tokens of the result stage to the caller, in order and each once.
+/// @brief Passes tokens of the result stage to the caller, in order and each exactly once.
 struct EmitTokens {
     RunId run;
-    std::uint64_t offset = 0; ///< Number of tokens before these.
+    std::uint64_t offset = 0; ///< Number of tokens that precede these.
     std::vector<std::string> tokens;
 };
 
-/// @brief Tell the caller how the run ended; given exactly once for each run.
+/// @brief Reports the outcome of the run to the caller; emitted exactly once for each run.
 struct Finish {
     RunId run;
     Outcome outcome;
 };
 
-/// @brief One thing that the driver has to do.
+/// @brief One operation that the driver has to carry out.
 using Action = std::variant<StartCall, CancelCall, SetTimer, InsertClaim, RecordClaim, EmitTokens, Finish>;
 using Actions = std::vector<Action>;
 
-/// @brief What came of a claim.
+/// @brief Result of a claim request.
 enum class ClaimState {
     Granted, ///< The call may be made, once.
-    Recorded, ///< An earlier call was answered; its answer is given.
-    InProgress, ///< Another run holds the claim now.
-    Unknown, ///< Another run held the claim and ended without a record.
-    KeyReused, ///< The same key came with another body.
-    Unavailable, ///< The table could not be asked in time.
+    Recorded, ///< An earlier call was answered; the result contains its answer.
+    InProgress, ///< Another run currently holds the claim.
+    Unknown, ///< Another run held the claim and ended without recording an outcome.
+    KeyReused, ///< The same idempotency key was used with a different body.
+    Unavailable, ///< The claim table did not respond in time.
 };
 
-/// @brief Answer to `InsertClaim`.
+/// @brief Response to `InsertClaim`.
 struct ClaimResult {
     ClaimState state = ClaimState::Unavailable;
-    Payload answer; ///< Present where `state` is `Recorded`.
+    Payload answer; ///< Set if `state` is `Recorded`.
 };
 
 } // namespace foxtailwheel::pipeline
--- a/include/foxtailwheel/pipeline/Attempt.h
+++ b/include/foxtailwheel/pipeline/Attempt.h
@@ -6,7 +6,7 @@
 
 namespace foxtailwheel::pipeline {
 
-/// @brief Identifies one attempt; every result carries it.
+/// @brief Identifies one attempt; each result carries the id of its attempt.
 struct AttemptId {
     RunId run;
     StageIndex stage = 0;
@@ -16,46 +16,46 @@
     friend auto operator<=>(const AttemptId&, const AttemptId&) = default;
 };
 
-/// @brief Why a call to a backend server ended without its whole answer.
+/// @brief Why a call to a backend server ended without a complete answer.
 enum class CallFailure {
     NotSent, ///< No byte of the call was handed to a socket.
-    Refused, ///< The backend server said that it did not start.
-    Broken, ///< The connection ended early.
-    Silent, ///< No progress for too long.
-    Truncated, ///< The body ended early or skipped tokens.
-    Rejected, ///< The backend server found the call itself at fault.
-    Failed, ///< The backend server said that it failed.
+    Refused, ///< The backend server reported that it did not start the call.
+    Broken, ///< The connection was closed before the answer was complete.
+    Silent, ///< No answer or no stream progress before the timeout.
+    Truncated, ///< The body is incomplete or tokens of the stream are missing.
+    Rejected, ///< The backend server reported that the request itself is invalid.
+    Failed, ///< The backend server reported an error of its own.
 };
 
 /// @brief State of one attempt.
 enum class AttemptState { Dispatched, Sent, Streaming, Answered, NotStarted, Failed, Cancelled };
 
-/// @brief What happens to an attempt.
-enum class AttemptEvent { FirstByte, Progress, Answer, NotStarted, Failure, Cancel };
+/// @brief Input of the state machine of an attempt.
+enum class AttemptEvent { FirstByteSent, Progress, Answer, NotStarted, Failure, Cancel };
 
-/// @brief Life cycle of one attempt, from dispatch to its end.
+/// @brief State machine of one attempt, from dispatch to completion.
 ///
-/// `Dispatched` already counts as possibly effective: only the confirmation that nothing was sent, or an explicit
-/// refusal, leads to `NotStarted`, where the call certainly had no effect.
-class AttemptLife {
+/// A side effect is possible from `Dispatched` on. Only the confirmation that nothing was sent or an explicit refusal
+/// by the backend server leads to `NotStarted`, the one state in which a side effect is ruled out.
+class AttemptStateMachine {
 public:
-    AttemptLife();
-    AttemptLife(AttemptLife&&) noexcept;
-    AttemptLife& operator=(AttemptLife&&) noexcept;
-    ~AttemptLife();
+    AttemptStateMachine();
+    AttemptStateMachine(AttemptStateMachine&&) noexcept;
+    AttemptStateMachine& operator=(AttemptStateMachine&&) noexcept;
+    ~AttemptStateMachine();
 
-    /// @brief Takes one event.
-    /// @return False where the event does not fit the state; the state then stays as it is.
+    /// @brief Applies one event.
+    /// @return False if the event has no transition from the current state, which then does not change.
     bool process(AttemptEvent event);
     AttemptState state() const;
-    /// @brief True while a result can still come.
-    bool open() const;
-    /// @brief True unless the call certainly did not start.
-    bool effectPossible() const;
+    /// @brief True while a result can still arrive.
+    bool isOpen() const;
+    /// @brief True unless the call is known not to have started.
+    bool sideEffectPossible() const;
 
 private:
-    struct Machine;
-    std::unique_ptr<Machine> m_machine;
+    struct Impl;
+    std::unique_ptr<Impl> m_impl;
 };
 
 } // namespace foxtailwheel::pipeline
--- a/include/foxtailwheel/pipeline/Outcome.h
+++ b/include/foxtailwheel/pipeline/Outcome.h
@@ -8,17 +8,17 @@
 
 namespace foxtailwheel::pipeline {
 
-/// @brief Bytes of a request or of a stage's result, shared and never changed.
+/// @brief Bytes of a request or of a stage result; shared and immutable.
 using Payload = std::shared_ptr<const std::string>;
 
-/// @brief Makes a payload of `text`.
+/// @brief Returns a payload that contains `text`.
 Payload payloadOf(std::string text);
 
-/// @brief What a caller may be told.
+/// @brief Result of a run as it is reported to the caller.
 enum class OutcomeKind {
-    Answered, ///< The whole answer is there.
-    NotRun, ///< Nothing with an effect was started; safe to repeat.
-    Unknown, ///< A call with an effect may have run.
+    Answered, ///< The answer is complete.
+    NotRun, ///< No call with a side effect was started; safe to retry.
+    Unknown, ///< A call with a side effect may have run.
 };
 
 /// @brief Why a run ended without an answer.
@@ -36,27 +36,27 @@
     EffectUnknown,
     KeyReused,
     KeyMissing,
-    CallerLeft,
+    CallerDisconnected,
     ShuttingDown,
 };
 
-/// @brief Name of an outcome as it is written in answers and logs.
+/// @brief Name of an outcome in responses and logs.
 std::string_view toString(OutcomeKind kind);
-/// @brief Name of a reason as it is written in answers and logs.
+/// @brief Name of a reason in responses and logs.
 std::string_view toString(Reason reason);
 
-/// @brief How one run ended.
+/// @brief Final result of one run.
 struct Outcome {
     OutcomeKind kind = OutcomeKind::NotRun;
     Reason reason = Reason::None;
-    Payload answer; ///< Present where `kind` is `Answered`; may explain a rejection otherwise.
-    Duration retryAfter {}; ///< Hint for the caller; 0 for none.
+    Payload answer; ///< Set if `kind` is `Answered`; otherwise null or an explanation of a rejection.
+    Duration retryAfter {}; ///< Recommended delay before the caller retries; 0 for none.
 };
 
-/// @brief The one place that decides what the caller is told.
-/// @param answer The whole answer, or null.
-/// @param effectPossible True where a call with an effect may have run.
-/// @param reason Why there is no answer.
-Outcome decideOutcome(Payload answer, bool effectPossible, Reason reason);
+/// @brief Returns the outcome that is reported to the caller; all outcomes are built here.
+/// @param answer The complete answer, or null.
+/// @param sideEffectPossible True if a call with a side effect may have run.
+/// @param reason Why there is no answer; not used if there is one.
+Outcome decideOutcome(Payload answer, bool sideEffectPossible, Reason reason);
 
 } // namespace foxtailwheel::pipeline
--- a/include/foxtailwheel/pipeline/Plan.h
+++ b/include/foxtailwheel/pipeline/Plan.h
@@ -15,22 +15,22 @@
     config::ServiceKind kind = config::ServiceKind::Plain;
     bool idempotent = true;
     Duration typicalTime {};
-    std::vector<StageIndex> needs; ///< Stages whose results this one takes; all have a lower index.
+    std::vector<StageIndex> dependencies; ///< Stages whose results are inputs of this one; all have a lower index.
 };
 
-/// @brief Expected time of one call to a service.
+/// @brief Returns the expected duration of one call of a stage.
 using ExpectedTime = std::function<Duration(const Stage&)>;
 
-/// @brief The stages of one pipeline in an order that respects their dependencies.
+/// @brief The stages of one pipeline in topological order.
 struct Plan {
     PipelineId id;
     std::vector<Stage> stages;
     Duration deadline {};
     std::uint32_t priority = 0;
 
-    /// @brief The stage whose result is the caller's answer.
-    StageIndex result() const { return stages.size() - 1; }
-    /// @brief True where some stage is not idempotent.
+    /// @brief Index of the stage whose result is the answer to the caller.
+    StageIndex resultStage() const { return stages.size() - 1; }
+    /// @brief True if any stage is not idempotent.
     bool hasEffect() const;
     /// @brief Longest expected time from the start of `stage` to the end of the plan.
     Duration criticalPath(StageIndex stage, const ExpectedTime& expected) const;
@@ -38,8 +38,8 @@
     Duration criticalPath(const ExpectedTime& expected) const;
 };
 
-/// @brief Makes the plan of a declared pipeline.
-/// @return `Errc::NotFound` where the pipeline is not declared.
+/// @brief Builds the plan of a declared pipeline.
+/// @return `Errc::NotFound` if the pipeline is not declared or has no stage.
 Result<Plan> makePlan(const config::Declarations& declarations, const PipelineId& id);
 
 } // namespace foxtailwheel::pipeline
--- a/include/foxtailwheel/pipeline/Run.h
+++ b/include/foxtailwheel/pipeline/Run.h
@@ -7,39 +7,39 @@
 
 namespace foxtailwheel::pipeline {
 
-/// @brief What a run asks about times and budgets; implemented over shared statistics.
+/// @brief Provides expected times, timeouts and the retry budget to runs, based on shared statistics.
 class RunPolicy {
 public:
     virtual ~RunPolicy() = default;
-    /// @brief Expected time of one call.
+    /// @brief Expected duration of one call.
     virtual Duration expectedTime(const Stage& stage) const = 0;
-    /// @brief Time after which a second attempt is worth starting; empty for never.
+    /// @brief Delay after which a hedge is worth sending; empty for never.
     virtual std::optional<Duration> hedgeDelay(const Stage& stage) const = 0;
-    /// @brief Longest time without any byte of a stream that has begun.
+    /// @brief Maximum time without progress of a stream that has begun; after it the attempt fails.
     virtual Duration progressLimit(const Stage& stage) const = 0;
-    /// @brief Takes one extra attempt from the budget; false where it is spent.
-    /// @param costly False for a retry of a call that never started.
+    /// @brief Acquires one retry or hedge from the retry budget; returns false if the budget is spent.
+    /// @param costly False for a retry of a call that was never started.
     virtual bool takeExtra(const Stage& stage, bool costly) = 0;
 };
 
-/// @brief What a caller asked for.
+/// @brief Parameters of one run.
 struct RunRequest {
     RunId id;
     std::shared_ptr<const Plan> plan;
     Payload body;
     TimePoint deadline;
-    bool stream = false; ///< Tokens of the result stage are handed on as they come.
+    bool stream = false; ///< Tokens of the result stage are passed on as they arrive.
 };
 
-/// @brief Counts of what a run saw, for metrics.
+/// @brief Event counters of a run, for metrics.
 struct RunCounters {
-    std::uint64_t strayResults = 0; ///< Results that fit no open attempt, dropped.
+    std::uint64_t unmatchedResults = 0; ///< Results that match no open attempt; they are dropped.
     std::uint64_t hedges = 0;
     std::uint64_t retries = 0;
     std::uint64_t resumes = 0;
 };
 
-/// @brief One run of a pipeline: takes events with their time, adds actions for its driver.
+/// @brief One run of a pipeline. Each event method takes the current time and appends actions for the driver.
 ///
 /// Not thread-safe; each run belongs to one shard. Example:
 /// @code
@@ -54,29 +54,29 @@
     Run& operator=(Run&&) noexcept;
     ~Run();
 
-    /// @brief Starts the stages that need nothing.
+    /// @brief Starts the stages without dependencies.
     void start(TimePoint now, Actions& out);
-    /// @brief The first byte of a call was handed to a socket.
+    /// @brief The first byte of a call was written to a socket.
     void onSent(const AttemptId& id);
-    /// @brief Tokens `offset`, `offset + 1`, ... of a stream came.
+    /// @brief Tokens `offset`, `offset + 1`, ... of a stream arrived.
     void onTokens(
         const AttemptId& id, std::uint64_t offset, const std::vector<std::string>& tokens, TimePoint now, Actions& out);
-    /// @brief A stream ended by its own end mark after `total` tokens in all.
+    /// @brief A stream ended with its end marker after `total` tokens, those before a resume included.
     void onStreamEnd(const AttemptId& id, std::uint64_t total, TimePoint now, Actions& out);
-    /// @brief The whole body of a call came.
+    /// @brief The complete response body of a call arrived.
     void onAnswer(const AttemptId& id, Payload body, TimePoint now, Actions& out);
-    /// @brief A call ended without its whole answer.
+    /// @brief A call ended without a complete answer.
     void onFailure(const AttemptId& id, CallFailure failure, TimePoint now, Actions& out);
-    /// @brief A claim was decided.
+    /// @brief The result of `InsertClaim` arrived.
     void onClaim(StageIndex stage, const ClaimResult& result, TimePoint now, Actions& out);
-    /// @brief A timer is due.
+    /// @brief A timer has expired.
     void onTimer(const TimerId& id, TimePoint now, Actions& out);
     /// @brief The caller closed its connection.
-    void onCallerLeft(TimePoint now, Actions& out);
+    void onCallerDisconnected(TimePoint now, Actions& out);
 
-    /// @brief True once `Finish` was given.
+    /// @brief True once `Finish` was emitted.
     bool finished() const;
-    /// @brief True once nothing more is to come and the run can be forgotten.
+    /// @brief True once no further event is expected and the run can be deleted.
     bool closed() const;
     const RunCounters& counters() const;
     const RunRequest& request() const;
--- a/include/foxtailwheel/serving/Admission.h
+++ b/include/foxtailwheel/serving/Admission.h
@@ -12,60 +12,60 @@
 
 namespace foxtailwheel::serving {
 
-/// @brief What admission knows of one run.
+/// @brief Properties of one run on which admission is decided.
 struct AdmissionRequest {
     RunId run;
     ClientAccountId account;
     double weight = 1;
     std::uint32_t priority = 0;
     TimePoint deadline;
-    Duration criticalPath {}; ///< Expected time of the whole plan.
-    ServiceId bottleneck; ///< The service whose queue the run waits in.
+    Duration criticalPath {}; ///< Expected duration of the whole plan.
+    ServiceId bottleneck; ///< The service in whose queue the run waits.
     double cost = 0; ///< Service time at the bottleneck, in seconds.
-    std::vector<limits::SlotHold> holds;
+    std::vector<limits::SlotHold> reservations;
 };
 
-/// @brief What admission decided at once.
-enum class Verdict { Start, Wait, Refuse };
+/// @brief Immediate decision on a run.
+enum class AdmissionDecision { Admit, Queue, Reject };
 
-/// @brief A verdict with the time that waiting is expected to take.
-struct AdmissionVerdict {
-    Verdict verdict = Verdict::Refuse;
+/// @brief A decision with the expected time in the queue.
+struct AdmissionResult {
+    AdmissionDecision decision = AdmissionDecision::Reject;
     Duration expectedWait {};
 };
 
-/// @brief Lets runs in as the services have room, fairly over client accounts.
+/// @brief Admits runs as slots of the services become available, by fair queueing over the client accounts.
 ///
-/// Thread-safe under one lock, which is held for a few logarithmic steps.
+/// Thread-safe. One lock protects all state; it is held for a few operations of logarithmic cost.
 class Admission {
 public:
-    /// @param maxQueued Most runs that may wait.
+    /// @param maxQueued Maximum number of queued runs.
     static std::unique_ptr<Admission> create(std::size_t maxQueued);
     virtual ~Admission() = default;
 
-    /// @brief Decides on a new run.
-    virtual AdmissionVerdict request(const AdmissionRequest& request, TimePoint now) = 0;
-    /// @brief A run that was let in has ended.
-    virtual void leave(const std::vector<limits::SlotHold>& holds) = 0;
-    /// @brief A run that has entered with these holds.
-    struct Started {
+    /// @brief Admits, queues or rejects a new run.
+    virtual AdmissionResult request(const AdmissionRequest& request, TimePoint now) = 0;
+    /// @brief Releases the slots of an admitted run that has ended.
+    virtual void release(const std::vector<limits::SlotHold>& reservations) = 0;
+    /// @brief An admitted run and its slot reservations.
+    struct AdmittedRun {
         RunId run;
-        std::vector<limits::SlotHold> holds;
+        std::vector<limits::SlotHold> reservations;
     };
-    /// @brief Runs that may start now, and those that can no longer finish in time.
-    struct Admitted {
-        std::vector<Started> started;
-        std::vector<RunId> refused;
+    /// @brief Runs taken from the queues: those admitted, and those that can no longer finish in time.
+    struct DequeuedRuns {
+        std::vector<AdmittedRun> admitted;
+        std::vector<RunId> rejected;
     };
-    /// @brief Lets waiting runs in as far as there is room.
-    virtual Admitted pump(TimePoint now) = 0;
-    /// @brief A waiting run has ended; it is skipped when its turn comes.
-    virtual void forget(RunId run) = 0;
-    /// @brief Sets the slots that this instance may fill.
-    virtual void setLimit(const ServiceId& service, double slots) = 0;
-    /// @brief Share of the slots in use.
+    /// @brief Admits queued runs while slots are available and rejects those that can no longer finish in time.
+    virtual DequeuedRuns dequeueReady(TimePoint now) = 0;
+    /// @brief Removes a queued run; its queue entry is skipped by `dequeueReady`.
+    virtual void removeQueued(RunId run) = 0;
+    /// @brief Sets the number of slots of a service that this instance may use.
+    virtual void setSlotLimit(const ServiceId& service, double slots) = 0;
+    /// @brief Fraction of the slots in use.
     virtual double utilization(const ServiceId& service) const = 0;
-    virtual std::size_t queued() const = 0;
+    virtual std::size_t queuedCount() const = 0;
 };
 
 } // namespace foxtailwheel::serving
--- a/include/foxtailwheel/serving/Dispatcher.h
+++ b/include/foxtailwheel/serving/Dispatcher.h
@@ -15,40 +15,40 @@
 
 namespace foxtailwheel::serving {
 
-/// @brief A caller's request for one run of a pipeline.
+/// @brief A request for one run of a pipeline.
 struct SubmitRequest {
     PipelineId pipeline;
     ClientAccountId account;
     std::optional<IdempotencyKey> key;
     pipeline::Payload body;
-    Duration timeLimit {}; ///< From now; 0 for the pipeline's own deadline, which also bounds it.
+    Duration timeLimit {}; ///< From the time of `submit`, at most the pipeline's deadline; 0 for that deadline.
     bool stream = false;
     std::optional<routing::PrefixHash> prefix;
 };
 
-/// @brief Call a backend server.
+/// @brief Sends a call to a backend server.
 struct SendCall {
     pipeline::StartCall call;
     config::BackendServer server;
     std::uint32_t priority = 0;
-    std::optional<routing::PrefixHash> prefix; ///< Leading part of the prompt, for model engines.
-    std::string idempotencyKey; ///< Told to the backend server of a call that is not idempotent; else empty.
+    std::optional<routing::PrefixHash> prefix; ///< Prompt prefix for cache-aware placement on model engines.
+    std::string idempotencyKey; ///< Sent to the backend server with a non-idempotent call; otherwise empty.
 };
 
-/// @brief Stop a call. Whether it started must still be reported for a call that is not idempotent.
+/// @brief Cancels a call. For a non-idempotent call, the driver must still report whether it started.
 struct StopCall {
     pipeline::AttemptId id;
     BackendServerId server;
 };
 
-/// @brief Identifies a claim: one effect that one account asked for once.
+/// @brief Identifies a claim: one side effect that an account requested, executed at most once.
 struct ClaimKey {
     ClientAccountId account;
     ServiceId service;
     IdempotencyKey key;
 };
 
-/// @brief Claim the right to make a call; answer with `onClaim`, always.
+/// @brief Claims the right to make a call; the driver must always respond with `onClaim`.
 struct ClaimCall {
     RunId run;
     StageIndex stage = 0;
@@ -57,7 +57,7 @@
     TimePoint deadline;
 };
 
-/// @brief Record how a claimed call ended.
+/// @brief Records the outcome of a claimed call.
 struct EndClaim {
     RunId run;
     StageIndex stage = 0;
@@ -66,17 +66,17 @@
     pipeline::Payload answer;
 };
 
-/// @brief What one service cost a run.
+/// @brief Cost of the calls of one stage of a run.
 struct StageCost {
     ServiceId service;
     std::uint32_t attempts = 0;
     Cost calls;
     Cost links;
-    Cost wasted; ///< Part of the above that went into attempts whose result was not used.
-    std::uint32_t crossZone = 0; ///< Attempts that left the zone.
+    Cost wasted; ///< Part of the above spent on attempts whose result was not used.
+    std::uint32_t crossZone = 0; ///< Attempts sent to another availability zone.
 };
 
-/// @brief Tell the caller how the run ended.
+/// @brief Reports the outcome of a run to the caller.
 struct Reply {
     RunId run;
     ClientAccountId account;
@@ -86,56 +86,57 @@
     Duration waited {}; ///< Time in the admission queue.
 };
 
-/// @brief One thing that the driver has to do.
+/// @brief One operation that the driver has to carry out.
 using Action = std::variant<SendCall, StopCall, pipeline::SetTimer, ClaimCall, EndClaim, pipeline::EmitTokens, Reply>;
 using Actions = std::vector<Action>;
 
-/// @brief How requests are served; the switches exist so that each policy can be measured against its absence.
+/// @brief Settings of a dispatcher. The switches allow each policy to be compared with a run without it.
 struct DispatcherOptions {
     routing::PoolOptions pools;
     std::size_t shards = 8;
     bool admission = true;
     bool hedging = true;
-    double extraShare = 0.04; ///< Hedges and costly retries for each first attempt; 0 for none.
-    double overcommit = 1.5; ///< Slots filled for each slot of this instance's share.
-    std::size_t maxQueued = 20000; ///< Runs that may wait for admission.
+    double extraShare = 0.04; ///< Hedges and costly retries per first attempt; 0 for none.
+    double overcommit = 1.5; ///< Slots used per slot of this instance's share.
+    std::size_t maxQueued = 20000; ///< Maximum number of runs in the admission queues.
 };
 
 /// @brief Counters for metrics.
 struct DispatcherStatus {
-    std::uint64_t runs = 0; ///< Runs in progress, waiting ones included.
+    std::uint64_t runs = 0; ///< Runs in progress, queued ones included.
     std::uint64_t queued = 0;
-    std::uint64_t strayResults = 0; ///< Results that fitted no open attempt, dropped.
+    std::uint64_t strayResults = 0; ///< Results that match no open attempt; they are dropped.
     std::uint64_t limitedAccounts = 0;
 };
 
-/// @brief Serves requests: admission, fairness, runs, placement and their budgets; no I/O.
+/// @brief Processes requests: admission, fair queueing, runs, server placement and retry budgets. Does no I/O.
 ///
-/// Thread-safe: runs live in shards by their id, each under its own lock. Every event takes the time and adds the
-/// actions that follow from it. Example:
+/// Thread-safe: runs are sharded by id and each shard has its own lock. Each event method takes the current time and
+/// appends the resulting actions. Example:
 /// @code
 /// auto dispatcher = makeDispatcher(options);
 /// dispatcher->configure(version, declarations);
-/// dispatcher->submit(dispatcher->newRun(), request, now, actions);
+/// dispatcher->submit(dispatcher->allocateRunId(), request, now, actions);
 /// @endcode
 class Dispatcher {
 public:
     virtual ~Dispatcher() = default;
 
-    /// @brief Puts a configuration in force; a version that is not higher is ignored.
+    /// @brief Applies a configuration.
+    /// @return False if the version is not higher than the current one; the configuration is then ignored.
     virtual bool configure(ConfigVersion version, std::shared_ptr<const config::Declarations> declarations) = 0;
-    /// @brief The configuration in force; null before the first.
+    /// @brief Returns the current configuration; null before the first.
     virtual std::shared_ptr<const Catalog> catalog() const = 0;
     /// @brief Sets the number of live instances, this one included, that share the backend servers.
     virtual void setInstances(std::size_t n) = 0;
-    /// @brief Servers that get nothing new.
+    /// @brief Sets the backend servers that receive no new calls.
     virtual void setLeaving(const std::set<BackendServerId>& leaving) = 0;
-    /// @brief From now on every new request is refused; runs in progress go on.
+    /// @brief Rejects all new requests from now on; runs in progress continue.
     virtual void stopAccepting() = 0;
 
-    /// @brief A number for a new run, so that its caller can be registered before it starts.
+    /// @brief Returns the id of a new run, so that its caller can be registered before the run starts.
     virtual RunId newRun() = 0;
-    /// @brief Takes a request of a known pipeline and account as run `id`.
+    /// @brief Starts or queues a request as run `id`; its pipeline and account must be configured.
     virtual void submit(RunId id, SubmitRequest request, TimePoint now, Actions& out) = 0;
     virtual void onSent(const pipeline::AttemptId& id, TimePoint now) = 0;
     virtual void onTokens(const pipeline::AttemptId& id, std::uint64_t offset, const std::vector<std::string>& tokens,
@@ -155,15 +156,15 @@
     virtual void onCacheEvent(const ServiceId& service, const BackendServerId& server, const routing::CacheEvent& event)
         = 0;
 
-    /// @brief Demand for limited accounts since the last call.
+    /// @brief Returns the demand for rate-limited accounts since the last call.
     virtual std::vector<limits::AccountDemand> drainDemand(TimePoint now) = 0;
-    /// @brief Takes this instance's part of an account's rate.
+    /// @brief Sets this instance's share of an account's rate.
     virtual void setAllowance(const ClientAccountId& account, double perSecond, TimePoint now) = 0;
 
     virtual DispatcherStatus status() const = 0;
 };
 
-/// @brief Makes a dispatcher without a configuration.
+/// @brief Creates a dispatcher without a configuration.
 std::unique_ptr<Dispatcher> makeDispatcher(DispatcherOptions options);
 
 } // namespace foxtailwheel::serving
--- a/src/foxtailwheel/pipeline/Attempt.cpp
+++ b/src/foxtailwheel/pipeline/Attempt.cpp
@@ -13,7 +13,7 @@
     using msm::front::none;
     using msm::front::Row;
 
-    struct FirstByte { };
+    struct FirstByteSent { };
     struct Progress { };
     struct Answer { };
     struct NotStartedEvent { };
@@ -32,7 +32,7 @@
         using initial_state = Dispatched;
         // clang-format off
         struct transition_table : boost::mpl::vector< // NOLINT(readability-identifier-naming)
-            Row<Dispatched, FirstByte,       Sent,       none, none>,
+            Row<Dispatched, FirstByteSent,   Sent,       none, none>,
             Row<Sent,       Progress,        Streaming,  none, none>,
             Row<Streaming,  Answer,          Answered,   none, none>,
             Row<Dispatched, NotStartedEvent, NotStarted, none, none>,
@@ -59,23 +59,23 @@
 
     using Backend = msm::back::state_machine<MachineDef>;
 
-    template <class Event> bool send(Backend& backend, const Event& event)
+    template <class Event> bool processEvent(Backend& backend, const Event& event)
     {
         return backend.process_event(event) == msm::back::HANDLED_TRUE;
     }
 
-    template <class State> constexpr int idOf()
+    template <class State> constexpr int stateId()
     {
         return msm::back::get_state_id<Backend::stt, State>::value;
     }
 
-    AttemptState stateOf(const Backend& backend)
+    AttemptState currentState(const Backend& backend)
     {
-        constexpr std::array ids { idOf<Dispatched>(), idOf<Sent>(), idOf<Streaming>(), idOf<Answered>(),
-            idOf<NotStarted>(), idOf<Failed>(), idOf<Cancelled>() };
-        const int n = backend.current_state()[0];
+        constexpr std::array ids { stateId<Dispatched>(), stateId<Sent>(), stateId<Streaming>(), stateId<Answered>(),
+            stateId<NotStarted>(), stateId<Failed>(), stateId<Cancelled>() };
+        const int current = backend.current_state()[0];
         for (std::size_t i = 0; i < ids.size(); ++i) {
-            if (ids.at(i) == n)
+            if (ids.at(i) == current)
                 return static_cast<AttemptState>(i);
         }
         return AttemptState::Cancelled;
@@ -83,51 +83,51 @@
 
 } // namespace
 
-struct AttemptLife::Machine {
+struct AttemptStateMachine::Impl {
     Backend backend;
 };
 
-AttemptLife::AttemptLife()
-    : m_machine(std::make_unique<Machine>())
+AttemptStateMachine::AttemptStateMachine()
+    : m_impl(std::make_unique<Impl>())
 {
-    m_machine->backend.start();
+    m_impl->backend.start();
 }
-AttemptLife::AttemptLife(AttemptLife&&) noexcept = default;
-AttemptLife& AttemptLife::operator=(AttemptLife&&) noexcept = default;
-AttemptLife::~AttemptLife() = default;
+AttemptStateMachine::AttemptStateMachine(AttemptStateMachine&&) noexcept = default;
+AttemptStateMachine& AttemptStateMachine::operator=(AttemptStateMachine&&) noexcept = default;
+AttemptStateMachine::~AttemptStateMachine() = default;
 
-bool AttemptLife::process(AttemptEvent event)
+bool AttemptStateMachine::process(AttemptEvent event)
 {
-    auto& backend = m_machine->backend;
+    auto& backend = m_impl->backend;
     switch (event) {
-    case AttemptEvent::FirstByte:
-        return send(backend, FirstByte {});
+    case AttemptEvent::FirstByteSent:
+        return processEvent(backend, FirstByteSent {});
     case AttemptEvent::Progress:
-        return send(backend, Progress {});
+        return processEvent(backend, Progress {});
     case AttemptEvent::Answer:
-        return send(backend, Answer {});
+        return processEvent(backend, Answer {});
     case AttemptEvent::NotStarted:
-        return send(backend, NotStartedEvent {});
+        return processEvent(backend, NotStartedEvent {});
     case AttemptEvent::Failure:
-        return send(backend, Failure {});
+        return processEvent(backend, Failure {});
     case AttemptEvent::Cancel:
-        return send(backend, Cancel {});
+        return processEvent(backend, Cancel {});
     }
     return false;
 }
 
-AttemptState AttemptLife::state() const
+AttemptState AttemptStateMachine::state() const
 {
-    return stateOf(m_machine->backend);
+    return currentState(m_impl->backend);
 }
 
-bool AttemptLife::open() const
+bool AttemptStateMachine::isOpen() const
 {
-    const auto now = state();
-    return now == AttemptState::Dispatched || now == AttemptState::Sent || now == AttemptState::Streaming;
+    const auto current = state();
+    return current == AttemptState::Dispatched || current == AttemptState::Sent || current == AttemptState::Streaming;
 }
 
-bool AttemptLife::effectPossible() const
+bool AttemptStateMachine::sideEffectPossible() const
 {
     return state() != AttemptState::NotStarted;
 }
--- a/src/foxtailwheel/pipeline/Outcome.cpp
+++ b/src/foxtailwheel/pipeline/Outcome.cpp
@@ -43,11 +43,11 @@
     return reasonNames.at(static_cast<std::size_t>(reason));
 }
 
-Outcome decideOutcome(Payload answer, bool effectPossible, Reason reason)
+Outcome decideOutcome(Payload answer, bool sideEffectPossible, Reason reason)
 {
     if (answer)
         return { OutcomeKind::Answered, Reason::None, std::move(answer), {} };
-    return { effectPossible ? OutcomeKind::Unknown : OutcomeKind::NotRun, reason, nullptr, {} };
+    return { sideEffectPossible ? OutcomeKind::Unknown : OutcomeKind::NotRun, reason, nullptr, {} };
 }
 
 } // namespace foxtailwheel::pipeline
--- a/src/foxtailwheel/pipeline/Plan.cpp
+++ b/src/foxtailwheel/pipeline/Plan.cpp
@@ -15,8 +15,8 @@
     std::vector<Duration> longest(stages.size());
     for (StageIndex i = stages.size(); i-- > stage;) {
         longest[i] += expected(stages[i]);
-        for (const auto needed : stages[i].needs)
-            longest[needed] = std::max(longest[needed], longest[i]);
+        for (const auto dependency : stages[i].dependencies)
+            longest[dependency] = std::max(longest[dependency], longest[i]);
     }
     return longest[stage];
 }
@@ -25,8 +25,8 @@
 {
     std::vector<Duration> finish(stages.size());
     for (StageIndex i = 0; i < stages.size(); ++i) {
-        for (const auto needed : stages[i].needs)
-            finish[i] = std::max(finish[i], finish[needed]);
+        for (const auto dependency : stages[i].dependencies)
+            finish[i] = std::max(finish[i], finish[dependency]);
         finish[i] += expected(stages[i]);
     }
     return finish.back();
@@ -41,13 +41,13 @@
     plan.id = id;
     plan.deadline = pipeline->deadline;
     plan.priority = pipeline->priority;
-    std::map<ServiceId, StageIndex> places;
+    std::map<ServiceId, StageIndex> indices;
     for (const auto& name : config::dependencyOrder(declarations, pipeline->result)) {
         const auto& service = *declarations.findService(name);
         Stage stage { name, service.kind, service.idempotent, service.typicalTime, {} };
         for (const auto& it : service.dependsOn)
-            stage.needs.push_back(places.at(it));
-        places.emplace(name, plan.stages.size());
+            stage.dependencies.push_back(indices.at(it));
+        indices.emplace(name, plan.stages.size());
         plan.stages.push_back(std::move(stage));
     }
     if (plan.stages.empty())
--- a/src/foxtailwheel/pipeline/Run.cpp
+++ b/src/foxtailwheel/pipeline/Run.cpp
@@ -9,15 +9,16 @@
 
     using namespace std::chrono_literals;
 
-    constexpr std::size_t mostAttempts = 4;
-    constexpr Duration lingerLimit = 30s;
-    /// Part of the slack that passes before a hedge.
-    constexpr double hedgeSlackShare = 0.25;
-    /// Share of the expected time below which the time left is hopeless.
-    constexpr double hopelessShare = 0.5;
-
-    /// Latest useful times of a call that starts now.
-    struct CallTimes {
+    constexpr std::size_t maxAttempts = 4;
+    /// Time after the end of a run for which the result of a non-idempotent call is still recorded.
+    constexpr Duration lingerTimeout = 30s;
+    /// Fraction of the slack by which a hedge is delayed.
+    constexpr double hedgeSlackFraction = 0.25;
+    /// Fraction of the expected time that must remain; with less, work is not started.
+    constexpr double minTimeFraction = 0.5;
+
+    /// Deadlines of a call that starts now.
+    struct CallDeadlines {
         TimePoint deadline;
         TimePoint sendBy;
     };
@@ -26,11 +27,11 @@
 
     struct Attempt {
         AttemptNumber number;
-        AttemptLife life;
+        AttemptStateMachine stateMachine;
         TimePoint lastProgress;
     };
 
-    struct StageRun {
+    struct StageState {
         Phase phase = Phase::Waiting;
         std::vector<Attempt> attempts;
         Payload result;
@@ -38,29 +39,30 @@
         bool hedged = false;
         std::uint64_t tokenCount = 0;
         std::string text;
-        std::optional<AttemptNumber> streamOwner;
+        std::optional<AttemptNumber> streamingAttempt;
 
-        Attempt* find(AttemptNumber number);
-        bool anyOpen() const;
-        bool effectPossible() const;
+        Attempt* findAttempt(AttemptNumber number);
+        bool hasOpenAttempt() const;
+        bool sideEffectPossible() const;
     };
 
-    Attempt* StageRun::find(AttemptNumber number)
+    Attempt* StageState::findAttempt(AttemptNumber number)
     {
         const auto it
             = std::find_if(attempts.begin(), attempts.end(), [number](const Attempt& a) { return a.number == number; });
         return it == attempts.end() ? nullptr : &*it;
     }
 
-    bool StageRun::anyOpen() const
+    bool StageState::hasOpenAttempt() const
     {
-        return std::any_of(attempts.begin(), attempts.end(), [](const Attempt& it) { return it.life.open(); });
+        return std::any_of(
+            attempts.begin(), attempts.end(), [](const Attempt& it) { return it.stateMachine.isOpen(); });
     }
 
-    bool StageRun::effectPossible() const
+    bool StageState::sideEffectPossible() const
     {
         return std::any_of(
-            attempts.begin(), attempts.end(), [](const Attempt& it) { return it.life.effectPossible(); });
+            attempts.begin(), attempts.end(), [](const Attempt& it) { return it.stateMachine.sideEffectPossible(); });
     }
 
     Reason reasonOf(CallFailure failure)
@@ -114,71 +116,71 @@
     }
 
     const Stage& stageAt(StageIndex i) const { return request.plan->stages[i]; }
-    ExpectedTime expected() const
+    ExpectedTime expectedTimes() const
     {
         return [this](const Stage& stage) { return policy.expectedTime(stage); };
     }
-    AttemptId idOf(StageIndex stage, AttemptNumber attempt) const { return { request.id, stage, attempt }; }
+    AttemptId attemptId(StageIndex stage, AttemptNumber attempt) const { return { request.id, stage, attempt }; }
 
-    bool hopeless(StageIndex stage, TimePoint now) const;
-    void startReady(TimePoint now, Actions& out);
+    bool cannotFinishInTime(StageIndex stage, TimePoint now) const;
+    void startReadyStages(TimePoint now, Actions& out);
     void startStage(StageIndex stage, TimePoint now, Actions& out);
     void dispatch(StageIndex stage, bool isExtra, TimePoint now, Actions& out);
-    CallTimes timesOf(StageIndex stage, TimePoint now) const;
-    StageInput inputOf(StageIndex stage) const;
+    CallDeadlines callDeadlines(StageIndex stage, TimePoint now) const;
+    StageInput stageInput(StageIndex stage) const;
     void setHedgeTimer(StageIndex stage, AttemptNumber attempt, TimePoint now, Actions& out);
     void complete(StageIndex stage, Payload result, TimePoint now, Actions& out);
-    void retryOrEnd(StageIndex stage, CallFailure failure, TimePoint now, Actions& out);
-    void record(StageIndex stage, ClaimEnd end, Payload answer, Actions& out);
+    void retryOrFinish(StageIndex stage, CallFailure failure, TimePoint now, Actions& out);
+    void recordClaim(StageIndex stage, ClaimEnd outcome, Payload answer, Actions& out);
     void cancel(StageIndex stage, Attempt& attempt, Actions& out);
     void cancelOthers(StageIndex stage, AttemptNumber winner, Actions& out);
-    bool effectPossible() const;
+    bool sideEffectPossible() const;
     void finish(Payload answer, Reason reason, TimePoint now, Actions& out);
-    void finishAs(Outcome outcome, TimePoint now, Actions& out);
-    void letGo(StageIndex stage, TimePoint now, Actions& out);
+    void finishWith(Outcome outcome, TimePoint now, Actions& out);
+    void abandonStage(StageIndex stage, TimePoint now, Actions& out);
     void onHedgeTimer(const TimerId& id, TimePoint now, Actions& out);
     void onProgressTimer(const TimerId& id, TimePoint now, Actions& out);
     void onLingerTimer(const TimerId& id, Actions& out);
-    void failAttempt(StageIndex stage, Attempt& attempt, CallFailure failure, TimePoint now, Actions& out);
-    void take(
+    void handleFailure(StageIndex stage, Attempt& attempt, CallFailure failure, TimePoint now, Actions& out);
+    void appendTokens(
         StageIndex stage, Attempt& attempt, std::uint64_t skip, const std::vector<std::string>& tokens, Actions& out);
-    StageRun* stageOf(const AttemptId& id);
+    StageState* findStage(const AttemptId& id);
 
     RunRequest request;
     RunPolicy& policy;
-    std::vector<StageRun> stages;
+    std::vector<StageState> stages;
     RunCounters counters;
     bool finished = false;
-    bool effectRecorded = false; ///< A claim answered from the record: the effect happened in an earlier run.
+    bool sideEffectInOtherRun = false; ///< A claim showed that another run made its call or may have made it.
 };
 
-StageRun* Run::Impl::stageOf(const AttemptId& id)
+StageState* Run::Impl::findStage(const AttemptId& id)
 {
     if (id.run != request.id || id.stage >= stages.size())
         return nullptr;
     return &stages[id.stage];
 }
 
-bool Run::Impl::hopeless(StageIndex stage, TimePoint now) const
+bool Run::Impl::cannotFinishInTime(StageIndex stage, TimePoint now) const
 {
-    const auto needed = toSeconds(request.plan->criticalPath(stage, expected())) * hopelessShare;
-    return now + fromSeconds(needed) > request.deadline;
+    const auto requiredSeconds = toSeconds(request.plan->criticalPath(stage, expectedTimes())) * minTimeFraction;
+    return now + fromSeconds(requiredSeconds) > request.deadline;
 }
 
-StageInput Run::Impl::inputOf(StageIndex stage) const
+StageInput Run::Impl::stageInput(StageIndex stage) const
 {
     StageInput input { request.body, {} };
-    for (const auto needed : stageAt(stage).needs)
-        input.parts.push_back({ stageAt(needed).service, stages[needed].result });
+    for (const auto dependency : stageAt(stage).dependencies)
+        input.parts.push_back({ stageAt(dependency).service, stages[dependency].result });
     return input;
 }
 
-void Run::Impl::startReady(TimePoint now, Actions& out)
+void Run::Impl::startReadyStages(TimePoint now, Actions& out)
 {
     for (StageIndex i = 0; i < stages.size() && !finished; ++i) {
-        const auto& needs = stageAt(i).needs;
-        const bool ready = std::all_of(
-            needs.begin(), needs.end(), [this](StageIndex it) { return stages[it].phase == Phase::Done; });
+        const auto& dependencies = stageAt(i).dependencies;
+        const bool ready = std::all_of(dependencies.begin(), dependencies.end(),
+            [this](StageIndex it) { return stages[it].phase == Phase::Done; });
         if (ready && stages[i].phase == Phase::Waiting)
             startStage(i, now, out);
     }
@@ -186,7 +188,7 @@
 
 void Run::Impl::startStage(StageIndex stage, TimePoint now, Actions& out)
 {
-    if (hopeless(stage, now)) {
+    if (cannotFinishInTime(stage, now)) {
         finish(nullptr, Reason::DeadlineExceeded, now, out);
         return;
     }
@@ -196,26 +198,26 @@
         return;
     }
     stages[stage].phase = Phase::Claiming;
-    out.push_back(InsertClaim { request.id, stage, stageAt(stage).service, timesOf(stage, now).sendBy });
+    out.push_back(InsertClaim { request.id, stage, stageAt(stage).service, callDeadlines(stage, now).sendBy });
 }
 
-CallTimes Run::Impl::timesOf(StageIndex stage, TimePoint now) const
+CallDeadlines Run::Impl::callDeadlines(StageIndex stage, TimePoint now) const
 {
-    const auto needed = policy.expectedTime(stageAt(stage));
-    const auto tail = request.plan->criticalPath(stage, expected()) - needed;
-    const auto deadline = std::max(request.deadline - fromSeconds(toSeconds(tail) * hopelessShare), now);
-    return { deadline, std::max(deadline - fromSeconds(toSeconds(needed) * hopelessShare), now) };
+    const auto callTime = policy.expectedTime(stageAt(stage));
+    const auto remainingPath = request.plan->criticalPath(stage, expectedTimes()) - callTime;
+    const auto deadline = std::max(request.deadline - fromSeconds(toSeconds(remainingPath) * minTimeFraction), now);
+    return { deadline, std::max(deadline - fromSeconds(toSeconds(callTime) * minTimeFraction), now) };
 }
 
 void Run::Impl::dispatch(StageIndex stage, bool isExtra, TimePoint now, Actions& out)
 {
     auto& state = stages[stage];
     const AttemptNumber number(state.attempts.size() + 1);
-    state.attempts.push_back({ number, AttemptLife(), now });
-    const auto times = timesOf(stage, now);
-    const auto giveUpAt = stageAt(stage).idempotent ? times.deadline : request.deadline + lingerLimit;
-    out.push_back(StartCall { idOf(stage, number), &stageAt(stage), inputOf(stage), times.deadline, giveUpAt,
-        times.sendBy, state.tokenCount, state.text, isExtra });
+    state.attempts.push_back({ number, AttemptStateMachine(), now });
+    const auto deadlines = callDeadlines(stage, now);
+    const auto responseDeadline = stageAt(stage).idempotent ? deadlines.deadline : request.deadline + lingerTimeout;
+    out.push_back(StartCall { attemptId(stage, number), &stageAt(stage), stageInput(stage), deadlines.deadline,
+        responseDeadline, deadlines.sendBy, state.tokenCount, state.text, isExtra });
     if (stageAt(stage).idempotent)
         setHedgeTimer(stage, number, now, out);
 }
@@ -225,16 +227,17 @@
     const auto delay = policy.hedgeDelay(stageAt(stage));
     if (!delay || stages[stage].hedged)
         return;
-    // With much time left a hedge buys nothing but cost, so it waits for a part of the slack as well.
-    const auto slack = std::max<Duration>(request.deadline - now - request.plan->criticalPath(stage, expected()), 0s);
+    // A hedge only adds cost while much time remains, so it is also delayed by a fraction of the slack.
+    const auto slack
+        = std::max<Duration>(request.deadline - now - request.plan->criticalPath(stage, expectedTimes()), 0s);
     out.push_back(SetTimer { { request.id, TimerKind::Hedge, stage, attempt },
-        now + *delay + fromSeconds(toSeconds(slack) * hedgeSlackShare) });
+        now + *delay + fromSeconds(toSeconds(slack) * hedgeSlackFraction) });
 }
 
 void Run::Impl::cancel(StageIndex stage, Attempt& attempt, Actions& out)
 {
-    if (attempt.life.process(AttemptEvent::Cancel))
-        out.push_back(CancelCall { idOf(stage, attempt.number) });
+    if (attempt.stateMachine.process(AttemptEvent::Cancel))
+        out.push_back(CancelCall { attemptId(stage, attempt.number) });
 }
 
 void Run::Impl::cancelOthers(StageIndex stage, AttemptNumber winner, Actions& out)
@@ -245,11 +248,11 @@
     }
 }
 
-void Run::Impl::record(StageIndex stage, ClaimEnd end, Payload answer, Actions& out)
+void Run::Impl::recordClaim(StageIndex stage, ClaimEnd outcome, Payload answer, Actions& out)
 {
     if (!std::exchange(stages[stage].claimed, false))
         return;
-    out.push_back(RecordClaim { request.id, stage, stageAt(stage).service, end, std::move(answer) });
+    out.push_back(RecordClaim { request.id, stage, stageAt(stage).service, outcome, std::move(answer) });
 }
 
 void Run::Impl::complete(StageIndex stage, Payload result, TimePoint now, Actions& out)
@@ -257,21 +260,21 @@
     auto& state = stages[stage];
     state.phase = Phase::Done;
     state.result = result;
-    record(stage, ClaimEnd::Answered, result, out);
+    recordClaim(stage, ClaimEnd::Answered, result, out);
     if (finished)
         return;
-    if (stage == request.plan->result())
+    if (stage == request.plan->resultStage())
         finish(std::move(result), Reason::None, now, out);
     else
-        startReady(now, out);
+        startReadyStages(now, out);
 }
 
-bool Run::Impl::effectPossible() const
+bool Run::Impl::sideEffectPossible() const
 {
-    if (effectRecorded)
+    if (sideEffectInOtherRun)
         return true;
     for (StageIndex i = 0; i < stages.size(); ++i) {
-        if (!stageAt(i).idempotent && stages[i].effectPossible())
+        if (!stageAt(i).idempotent && stages[i].sideEffectPossible())
             return true;
     }
     return false;
@@ -279,19 +282,19 @@
 
 void Run::Impl::finish(Payload answer, Reason reason, TimePoint now, Actions& out)
 {
-    finishAs(decideOutcome(std::move(answer), effectPossible(), reason), now, out);
+    finishWith(decideOutcome(std::move(answer), sideEffectPossible(), reason), now, out);
 }
 
-void Run::Impl::finishAs(Outcome outcome, TimePoint now, Actions& out)
+void Run::Impl::finishWith(Outcome outcome, TimePoint now, Actions& out)
 {
     if (std::exchange(finished, true))
         return;
     for (StageIndex i = 0; i < stages.size(); ++i)
-        letGo(i, now, out);
+        abandonStage(i, now, out);
     out.push_back(Finish { request.id, std::move(outcome) });
 }
 
-void Run::Impl::letGo(StageIndex stage, TimePoint now, Actions& out)
+void Run::Impl::abandonStage(StageIndex stage, TimePoint now, Actions& out)
 {
     auto& state = stages[stage];
     if (stageAt(stage).idempotent) {
@@ -299,21 +302,21 @@
             cancel(stage, it, out);
         return;
     }
-    if (state.anyOpen())
+    if (state.hasOpenAttempt())
         out.push_back(
-            SetTimer { { request.id, TimerKind::Linger, stage, state.attempts.back().number }, now + lingerLimit });
+            SetTimer { { request.id, TimerKind::Linger, stage, state.attempts.back().number }, now + lingerTimeout });
     else if (state.phase == Phase::Running)
-        record(stage, state.effectPossible() ? ClaimEnd::Unknown : ClaimEnd::NotStarted, nullptr, out);
+        recordClaim(stage, state.sideEffectPossible() ? ClaimEnd::Unknown : ClaimEnd::NotStarted, nullptr, out);
 }
 
-void Run::Impl::retryOrEnd(StageIndex stage, CallFailure failure, TimePoint now, Actions& out)
+void Run::Impl::retryOrFinish(StageIndex stage, CallFailure failure, TimePoint now, Actions& out)
 {
     auto& state = stages[stage];
-    if (state.anyOpen())
+    if (state.hasOpenAttempt())
         return;
     const bool started = !neverStarted(failure);
     const bool allowed = stageAt(stage).idempotent ? failure != CallFailure::Rejected : !started;
-    const bool possible = allowed && state.attempts.size() < mostAttempts && !hopeless(stage, now);
+    const bool possible = allowed && state.attempts.size() < maxAttempts && !cannotFinishInTime(stage, now);
     if (!possible || !policy.takeExtra(stageAt(stage), started)) {
         finish(nullptr, reasonOf(failure), now, out);
         return;
@@ -324,26 +327,26 @@
     dispatch(stage, true, now, out);
 }
 
-void Run::Impl::failAttempt(StageIndex stage, Attempt& attempt, CallFailure failure, TimePoint now, Actions& out)
+void Run::Impl::handleFailure(StageIndex stage, Attempt& attempt, CallFailure failure, TimePoint now, Actions& out)
 {
     auto& state = stages[stage];
-    if (state.streamOwner == attempt.number)
-        state.streamOwner.reset();
+    if (state.streamingAttempt == attempt.number)
+        state.streamingAttempt.reset();
     if (finished) {
-        if (!stageAt(stage).idempotent && !state.anyOpen())
-            record(stage, state.effectPossible() ? ClaimEnd::Unknown : ClaimEnd::NotStarted, nullptr, out);
+        if (!stageAt(stage).idempotent && !state.hasOpenAttempt())
+            recordClaim(stage, state.sideEffectPossible() ? ClaimEnd::Unknown : ClaimEnd::NotStarted, nullptr, out);
         return;
     }
     if (state.phase == Phase::Running)
-        retryOrEnd(stage, failure, now, out);
+        retryOrFinish(stage, failure, now, out);
 }
 
-void Run::Impl::take(
+void Run::Impl::appendTokens(
     StageIndex stage, Attempt& attempt, std::uint64_t skip, const std::vector<std::string>& tokens, Actions& out)
 {
     auto& state = stages[stage];
-    if (!state.streamOwner) {
-        state.streamOwner = attempt.number;
+    if (!state.streamingAttempt) {
+        state.streamingAttempt = attempt.number;
         cancelOthers(stage, attempt.number, out);
     }
     EmitTokens emit { request.id, state.tokenCount, {} };
@@ -352,19 +355,19 @@
         ++state.tokenCount;
         emit.tokens.push_back(tokens[i]);
     }
-    const bool wanted = request.stream && !finished && stage == request.plan->result();
-    if (wanted && !emit.tokens.empty())
+    const bool forwarded = request.stream && !finished && stage == request.plan->resultStage();
+    if (forwarded && !emit.tokens.empty())
         out.push_back(std::move(emit));
 }
 
 void Run::Impl::onHedgeTimer(const TimerId& id, TimePoint now, Actions& out)
 {
     auto& state = stages[id.stage];
-    const auto* attempt = state.find(id.attempt);
-    const bool useful
-        = attempt != nullptr && attempt->life.open() && state.phase == Phase::Running && !state.streamOwner;
-    if (finished || !useful || !stageAt(id.stage).idempotent || state.hedged || state.attempts.size() >= mostAttempts
-        || hopeless(id.stage, now))
+    const auto* attempt = state.findAttempt(id.attempt);
+    const bool useful = attempt != nullptr && attempt->stateMachine.isOpen() && state.phase == Phase::Running
+        && !state.streamingAttempt;
+    if (finished || !useful || !stageAt(id.stage).idempotent || state.hedged || state.attempts.size() >= maxAttempts
+        || cannotFinishInTime(id.stage, now))
         return;
     if (!policy.takeExtra(stageAt(id.stage), true))
         return;
@@ -376,17 +379,17 @@
 void Run::Impl::onProgressTimer(const TimerId& id, TimePoint now, Actions& out)
 {
     auto& state = stages[id.stage];
-    auto* attempt = state.find(id.attempt);
-    if (finished || attempt == nullptr || !attempt->life.open())
+    auto* attempt = state.findAttempt(id.attempt);
+    if (finished || attempt == nullptr || !attempt->stateMachine.isOpen())
         return;
     const auto due = attempt->lastProgress + policy.progressLimit(stageAt(id.stage));
     if (due > now) {
         out.push_back(SetTimer { id, due });
         return;
     }
-    attempt->life.process(AttemptEvent::Failure);
-    out.push_back(CancelCall { idOf(id.stage, id.attempt) });
-    failAttempt(id.stage, *attempt, CallFailure::Silent, now, out);
+    attempt->stateMachine.process(AttemptEvent::Failure);
+    out.push_back(CancelCall { attemptId(id.stage, id.attempt) });
+    handleFailure(id.stage, *attempt, CallFailure::Silent, now, out);
 }
 
 void Run::Impl::onLingerTimer(const TimerId& id, Actions& out)
@@ -394,7 +397,7 @@
     auto& state = stages[id.stage];
     for (auto& it : state.attempts)
         cancel(id.stage, it, out);
-    record(id.stage, ClaimEnd::Unknown, nullptr, out);
+    recordClaim(id.stage, ClaimEnd::Unknown, nullptr, out);
 }
 
 Run::Run(RunRequest request, RunPolicy& policy)
@@ -408,36 +411,36 @@
 void Run::start(TimePoint now, Actions& out)
 {
     out.push_back(SetTimer { { m_impl->request.id, TimerKind::Deadline, 0, {} }, m_impl->request.deadline });
-    m_impl->startReady(now, out);
+    m_impl->startReadyStages(now, out);
 }
 
 void Run::onSent(const AttemptId& id)
 {
-    auto* stage = m_impl->stageOf(id);
-    auto* attempt = stage == nullptr ? nullptr : stage->find(id.attempt);
+    auto* stage = m_impl->findStage(id);
+    auto* attempt = stage == nullptr ? nullptr : stage->findAttempt(id.attempt);
     if (attempt != nullptr)
-        attempt->life.process(AttemptEvent::FirstByte);
+        attempt->stateMachine.process(AttemptEvent::FirstByteSent);
 }
 
 void Run::onTokens(
     const AttemptId& id, std::uint64_t offset, const std::vector<std::string>& tokens, TimePoint now, Actions& out)
 {
-    auto* stage = m_impl->stageOf(id);
-    auto* attempt = stage == nullptr ? nullptr : stage->find(id.attempt);
-    const bool foreign = stage != nullptr && stage->streamOwner && *stage->streamOwner != id.attempt;
-    if (attempt == nullptr || foreign || !attempt->life.process(AttemptEvent::Progress)) {
-        ++m_impl->counters.strayResults;
+    auto* stage = m_impl->findStage(id);
+    auto* attempt = stage == nullptr ? nullptr : stage->findAttempt(id.attempt);
+    const bool fromOtherAttempt = stage != nullptr && stage->streamingAttempt && *stage->streamingAttempt != id.attempt;
+    if (attempt == nullptr || fromOtherAttempt || !attempt->stateMachine.process(AttemptEvent::Progress)) {
+        ++m_impl->counters.unmatchedResults;
         return;
     }
-    const bool first = !stage->streamOwner;
+    const bool first = !stage->streamingAttempt;
     attempt->lastProgress = now;
     if (offset > stage->tokenCount) {
-        attempt->life.process(AttemptEvent::Failure);
+        attempt->stateMachine.process(AttemptEvent::Failure);
         out.push_back(CancelCall { id });
-        m_impl->failAttempt(id.stage, *attempt, CallFailure::Truncated, now, out);
+        m_impl->handleFailure(id.stage, *attempt, CallFailure::Truncated, now, out);
         return;
     }
-    m_impl->take(id.stage, *attempt, stage->tokenCount - offset, tokens, out);
+    m_impl->appendTokens(id.stage, *attempt, stage->tokenCount - offset, tokens, out);
     if (first)
         out.push_back(SetTimer { { m_impl->request.id, TimerKind::Progress, id.stage, id.attempt },
             now + m_impl->policy.progressLimit(m_impl->stageAt(id.stage)) });
@@ -445,33 +448,33 @@
 
 void Run::onStreamEnd(const AttemptId& id, std::uint64_t total, TimePoint now, Actions& out)
 {
-    auto* stage = m_impl->stageOf(id);
-    auto* attempt = stage == nullptr ? nullptr : stage->find(id.attempt);
-    if (attempt == nullptr || !attempt->life.open() || stage->phase != Phase::Running) {
-        ++m_impl->counters.strayResults;
+    auto* stage = m_impl->findStage(id);
+    auto* attempt = stage == nullptr ? nullptr : stage->findAttempt(id.attempt);
+    if (attempt == nullptr || !attempt->stateMachine.isOpen() || stage->phase != Phase::Running) {
+        ++m_impl->counters.unmatchedResults;
         return;
     }
     if (total != stage->tokenCount) {
-        attempt->life.process(AttemptEvent::Failure);
-        m_impl->failAttempt(id.stage, *attempt, CallFailure::Truncated, now, out);
+        attempt->stateMachine.process(AttemptEvent::Failure);
+        m_impl->handleFailure(id.stage, *attempt, CallFailure::Truncated, now, out);
         return;
     }
-    attempt->life.process(AttemptEvent::Answer);
+    attempt->stateMachine.process(AttemptEvent::Answer);
     m_impl->cancelOthers(id.stage, id.attempt, out);
     m_impl->complete(id.stage, payloadOf(stage->text), now, out);
 }
 
 void Run::onAnswer(const AttemptId& id, Payload body, TimePoint now, Actions& out)
 {
-    auto* stage = m_impl->stageOf(id);
-    auto* attempt = stage == nullptr ? nullptr : stage->find(id.attempt);
+    auto* stage = m_impl->findStage(id);
+    auto* attempt = stage == nullptr ? nullptr : stage->findAttempt(id.attempt);
     if (attempt == nullptr || stage->phase != Phase::Running || !body) {
-        ++m_impl->counters.strayResults;
+        ++m_impl->counters.unmatchedResults;
         return;
     }
-    const bool late = !attempt->life.process(AttemptEvent::Answer);
-    if (late && (m_impl->finished || !attempt->life.effectPossible())) {
-        ++m_impl->counters.strayResults;
+    const bool alreadyEnded = !attempt->stateMachine.process(AttemptEvent::Answer);
+    if (alreadyEnded && (m_impl->finished || !attempt->stateMachine.sideEffectPossible())) {
+        ++m_impl->counters.unmatchedResults;
         return;
     }
     m_impl->cancelOthers(id.stage, id.attempt, out);
@@ -480,19 +483,19 @@
 
 void Run::onFailure(const AttemptId& id, CallFailure failure, TimePoint now, Actions& out)
 {
-    auto* stage = m_impl->stageOf(id);
-    auto* attempt = stage == nullptr ? nullptr : stage->find(id.attempt);
+    auto* stage = m_impl->findStage(id);
+    auto* attempt = stage == nullptr ? nullptr : stage->findAttempt(id.attempt);
     const auto event = neverStarted(failure) ? AttemptEvent::NotStarted : AttemptEvent::Failure;
-    if (attempt == nullptr || !attempt->life.process(event))
+    if (attempt == nullptr || !attempt->stateMachine.process(event))
         return;
-    m_impl->failAttempt(id.stage, *attempt, failure, now, out);
+    m_impl->handleFailure(id.stage, *attempt, failure, now, out);
 }
 
 void Run::onClaim(StageIndex stage, const ClaimResult& result, TimePoint now, Actions& out)
 {
     auto& impl = *m_impl;
     if (stage >= impl.stages.size() || impl.stages[stage].phase != Phase::Claiming) {
-        ++impl.counters.strayResults;
+        ++impl.counters.unmatchedResults;
         return;
     }
     auto& state = impl.stages[stage];
@@ -500,20 +503,20 @@
     if (result.state == ClaimState::Granted) {
         state.claimed = true;
         if (impl.finished)
-            impl.record(stage, ClaimEnd::NotStarted, nullptr, out);
-        else if (impl.hopeless(stage, now))
+            impl.recordClaim(stage, ClaimEnd::NotStarted, nullptr, out);
+        else if (impl.cannotFinishInTime(stage, now))
             impl.finish(nullptr, Reason::DeadlineExceeded, now, out);
         else
             impl.dispatch(stage, false, now, out);
         return;
     }
     if (result.state == ClaimState::Recorded) {
-        impl.effectRecorded = true;
+        impl.sideEffectInOtherRun = true;
         impl.complete(stage, result.answer, now, out);
         return;
     }
-    impl.effectRecorded
-        = impl.effectRecorded || result.state == ClaimState::Unknown || result.state == ClaimState::InProgress;
+    impl.sideEffectInOtherRun
+        = impl.sideEffectInOtherRun || result.state == ClaimState::Unknown || result.state == ClaimState::InProgress;
     impl.finish(nullptr, reasonOf(result.state), now, out);
 }
 
@@ -537,9 +540,9 @@
     }
 }
 
-void Run::onCallerLeft(TimePoint now, Actions& out)
+void Run::onCallerDisconnected(TimePoint now, Actions& out)
 {
-    m_impl->finish(nullptr, Reason::CallerLeft, now, out);
+    m_impl->finish(nullptr, Reason::CallerDisconnected, now, out);
 }
 
 bool Run::finished() const
@@ -552,7 +555,7 @@
     if (!m_impl->finished)
         return false;
     return std::none_of(m_impl->stages.begin(), m_impl->stages.end(),
-        [](const StageRun& it) { return it.phase == Phase::Claiming || it.claimed || it.anyOpen(); });
+        [](const StageState& it) { return it.phase == Phase::Claiming || it.claimed || it.hasOpenAttempt(); });
 }
 
 const RunCounters& Run::counters() const
--- a/src/foxtailwheel/pipeline/RunTest.cpp
+++ b/src/foxtailwheel/pipeline/RunTest.cpp
@@ -29,12 +29,12 @@
     Duration expectedTime(const pipeline::Stage&) const override { return 10ms; }
     std::optional<Duration> hedgeDelay(const pipeline::Stage&) const override { return 30ms; }
     Duration progressLimit(const pipeline::Stage&) const override { return 100ms; }
-    bool takeExtra(const pipeline::Stage&, bool) override { return extras-- > 0; }
+    bool takeExtra(const pipeline::Stage&, bool) override { return retryBudget-- > 0; }
 
-    int extras = 10;
+    int retryBudget = 10;
 };
 
-/// One run with the actions that it has given so far.
+/// One run and the actions that it has emitted so far.
 struct Fixture {
     explicit Fixture(const std::string& pipeline)
         : plan(std::make_shared<const pipeline::Plan>(
@@ -44,7 +44,7 @@
         run.start(start, actions);
     }
 
-    /// The last action of a kind, or null.
+    /// Returns the last action of type `T`, or null.
     template <class T> const T* last() const
     {
         for (auto it = actions.rbegin(); it != actions.rend(); ++it) {
@@ -64,9 +64,9 @@
 
     AttemptId call() const { return last<StartCall>()->id; }
     void answer(const std::string& body) { run.onAnswer(call(), pipeline::payloadOf(body), start, actions); }
-    void grant() { run.onClaim(0, { ClaimState::Granted, nullptr }, start, actions); }
-    /// Answers the stages before the stream.
-    void reachStream()
+    void grantClaim() { run.onClaim(0, { ClaimState::Granted, nullptr }, start, actions); }
+    /// Answers the stages that precede the stream.
+    void advanceToStream()
     {
         answer("\"encoded\"");
         answer("\"found\"");
@@ -80,7 +80,7 @@
 
 } // namespace
 
-Test(Run, stagesGetTheResultsTheyNeed)
+Test(Run, stageInputContainsResultsOfDependencies)
 {
     Fixture it("answer");
     it.answer("\"encoded\"");
@@ -90,10 +90,10 @@
     cr_assert_eq(*call->input.parts.front().result, std::string("\"encoded\""));
 }
 
-Test(Run, aBrokenStreamResumesWhereItStopped)
+Test(Run, brokenStreamResumesAtTheLastToken)
 {
     Fixture it("answer");
-    it.reachStream();
+    it.advanceToStream();
     const auto first = it.call();
     it.run.onTokens(first, 0, { "a", "b" }, start, it.actions);
     it.run.onFailure(first, CallFailure::Broken, start, it.actions);
@@ -107,32 +107,32 @@
     cr_assert_eq(*it.last<Finish>()->outcome.answer, std::string("abc"));
 }
 
-Test(Run, tokensOfAnOlderAttemptAreDropped)
+Test(Run, tokensOfAFailedAttemptAreDropped)
 {
     Fixture it("answer");
-    it.reachStream();
+    it.advanceToStream();
     const auto first = it.call();
     it.run.onTokens(first, 0, { "a" }, start, it.actions);
     it.run.onFailure(first, CallFailure::Broken, start, it.actions);
     it.run.onTokens(first, 1, { "x" }, start, it.actions);
     cr_assert_eq(it.countOf<EmitTokens>(), 1U);
-    cr_assert_eq(it.run.counters().strayResults, 1U);
+    cr_assert_eq(it.run.counters().unmatchedResults, 1U);
 }
 
-Test(Run, aStreamThatEndsEarlyIsNoAnswer)
+Test(Run, truncatedStreamIsResumed)
 {
     Fixture it("answer");
-    it.reachStream();
+    it.advanceToStream();
     it.run.onTokens(it.call(), 0, { "a" }, start, it.actions);
     it.run.onStreamEnd(it.call(), 5, start, it.actions);
     cr_assert_eq(it.countOf<Finish>(), 0U);
     cr_assert_eq(it.last<StartCall>()->resumeFrom, 1U);
 }
 
-Test(Run, aSilentStreamIsMovedAfterItsProgressLimit)
+Test(Run, stalledStreamIsResumedAfterTheProgressTimeout)
 {
     Fixture it("answer");
-    it.reachStream();
+    it.advanceToStream();
     const auto first = it.call();
     it.run.onTokens(first, 0, { "a" }, start, it.actions);
     const auto timer = *it.last<SetTimer>();
@@ -142,7 +142,7 @@
     cr_assert_eq(it.last<StartCall>()->resumeFrom, 1U);
 }
 
-Test(Run, theFirstAnswerOfAHedgeWinsAndTheOtherIsCancelled)
+Test(Run, firstHedgedAnswerWinsAndTheOtherAttemptIsCancelled)
 {
     Fixture it("answer");
     const auto first = it.call();
@@ -152,19 +152,19 @@
     it.run.onAnswer(second, pipeline::payloadOf("1"), start + 600ms, it.actions);
     cr_assert(it.last<pipeline::CancelCall>()->id == first);
     it.run.onAnswer(first, pipeline::payloadOf("2"), start + 600ms, it.actions);
-    cr_assert_eq(it.run.counters().strayResults, 1U);
+    cr_assert_eq(it.run.counters().unmatchedResults, 1U);
 }
 
-Test(Run, aSpentBudgetEndsTheRun)
+Test(Run, runFailsWithoutRetryBudget)
 {
     Fixture it("answer");
-    it.policy.extras = 0;
+    it.policy.retryBudget = 0;
     it.run.onFailure(it.call(), CallFailure::Failed, start, it.actions);
     cr_assert(it.last<Finish>()->outcome.kind == OutcomeKind::NotRun);
     cr_assert(it.last<Finish>()->outcome.reason == Reason::BackendFailed);
 }
 
-Test(Run, nothingIsSentThatCannotFinish)
+Test(Run, callThatCannotFinishInTimeIsNotSent)
 {
     Fixture it("answer");
     it.run.onAnswer(it.call(), pipeline::payloadOf("1"), start + 1995ms, it.actions);
@@ -172,7 +172,7 @@
     cr_assert(it.last<Finish>()->outcome.reason == Reason::DeadlineExceeded);
 }
 
-Test(Run, noClaimNoCall)
+Test(Run, nonIdempotentCallIsNotSentWithoutAClaim)
 {
     Fixture it("book");
     cr_assert_eq(it.countOf<InsertClaim>(), 1U);
@@ -181,64 +181,64 @@
     cr_assert(it.last<Finish>()->outcome.kind == OutcomeKind::NotRun);
 }
 
-Test(Run, aBookingIsNeitherHedgedNorRepeated)
+Test(Run, nonIdempotentCallIsNeitherHedgedNorRetried)
 {
     Fixture it("book");
-    it.grant();
+    it.grantClaim();
     const auto call = it.call();
     it.run.onSent(call);
     it.run.onTimer({ RunId(7), TimerKind::Hedge, 0, call.attempt }, start + 900ms, it.actions);
     it.run.onFailure(call, CallFailure::Broken, start, it.actions);
     cr_assert_eq(it.countOf<StartCall>(), 1U);
     cr_assert(it.last<Finish>()->outcome.kind == OutcomeKind::Unknown);
-    cr_assert(it.last<RecordClaim>()->end == pipeline::ClaimEnd::Unknown);
+    cr_assert(it.last<RecordClaim>()->outcome == pipeline::ClaimEnd::Unknown);
 }
 
-Test(Run, aRefusalIsTheOnlyWayBackToNotRun)
+Test(Run, refusedNonIdempotentCallEndsAsNotRun)
 {
     Fixture it("book");
-    it.grant();
-    it.policy.extras = 0;
+    it.grantClaim();
+    it.policy.retryBudget = 0;
     it.run.onSent(it.call());
     it.run.onFailure(it.call(), CallFailure::Refused, start, it.actions);
     cr_assert(it.last<Finish>()->outcome.kind == OutcomeKind::NotRun);
-    cr_assert(it.last<RecordClaim>()->end == pipeline::ClaimEnd::NotStarted);
+    cr_assert(it.last<RecordClaim>()->outcome == pipeline::ClaimEnd::NotStarted);
     cr_assert(it.run.closed());
 }
 
-Test(Run, aLateBookingIsRecordedAfterItsCallerWasTold)
+Test(Run, lateAnswerOfANonIdempotentCallIsRecordedAfterTheReply)
 {
     Fixture it("book");
-    it.grant();
+    it.grantClaim();
     it.run.onTimer({ RunId(7), TimerKind::Deadline, 0, {} }, start + 1s, it.actions);
     cr_assert(it.last<Finish>()->outcome.kind == OutcomeKind::Unknown);
     cr_assert(!it.run.closed());
     it.run.onAnswer(it.call(), pipeline::payloadOf("booked"), start + 2s, it.actions);
-    cr_assert(it.last<RecordClaim>()->end == pipeline::ClaimEnd::Answered);
+    cr_assert(it.last<RecordClaim>()->outcome == pipeline::ClaimEnd::Answered);
     cr_assert_eq(it.countOf<Finish>(), 1U);
     cr_assert(it.run.closed());
 }
 
-Test(Run, aClaimThatComesAfterTheDeadlineIsReleased)
+Test(Run, claimGrantedAfterTheDeadlineIsReleased)
 {
     Fixture it("book");
     it.run.onTimer({ RunId(7), TimerKind::Deadline, 0, {} }, start + 1s, it.actions);
     cr_assert(it.last<Finish>()->outcome.kind == OutcomeKind::NotRun);
-    it.grant();
+    it.grantClaim();
     cr_assert_eq(it.countOf<StartCall>(), 0U);
-    cr_assert(it.last<RecordClaim>()->end == pipeline::ClaimEnd::NotStarted);
+    cr_assert(it.last<RecordClaim>()->outcome == pipeline::ClaimEnd::NotStarted);
     cr_assert(it.run.closed());
 }
 
-Test(Run, aCallerThatLeavesCancelsItsCalls)
+Test(Run, callerDisconnectCancelsCalls)
 {
     Fixture it("answer");
-    it.run.onCallerLeft(start, it.actions);
+    it.run.onCallerDisconnected(start, it.actions);
     cr_assert_eq(it.countOf<pipeline::CancelCall>(), 1U);
     cr_assert(it.run.closed());
 }
 
-Test(Plan, theCriticalPathIsTheLongestBranch)
+Test(Plan, criticalPathIsTheLongestBranch)
 {
     const auto declared = testing::smallDeployment(1);
     const auto plan = pipeline::makePlan(*declared, PipelineId("answer")).value();
--- a/src/foxtailwheel/serving/Admission.cpp
+++ b/src/foxtailwheel/serving/Admission.cpp
@@ -12,9 +12,9 @@
 
 namespace {
 
-    /// Multiple of the expected critical path that must be left when a waiting run starts: call times spread so far
-    /// that with less one in a hundred would start and not finish.
-    constexpr double safePath = 1.5;
+    /// Multiple of the expected critical path that must remain when a queued run starts. With less, the spread of the
+    /// call times lets one in a hundred runs start without finishing in time.
+    constexpr double criticalPathMargin = 1.5;
 
     class QueuedAdmission final : public Admission {
     public:
@@ -23,88 +23,88 @@
         {
         }
 
-        AdmissionVerdict request(const AdmissionRequest& request, TimePoint now) override;
-        void leave(const std::vector<limits::SlotHold>& holds) override;
-        Admitted pump(TimePoint now) override;
-        void forget(RunId run) override;
-        void setLimit(const ServiceId& service, double slots) override;
+        AdmissionResult request(const AdmissionRequest& request, TimePoint now) override;
+        void release(const std::vector<limits::SlotHold>& reservations) override;
+        DequeuedRuns dequeueReady(TimePoint now) override;
+        void removeQueued(RunId run) override;
+        void setSlotLimit(const ServiceId& service, double slots) override;
         double utilization(const ServiceId& service) const override;
-        std::size_t queued() const override;
+        std::size_t queuedCount() const override;
 
     private:
-        struct Waiting {
-            std::vector<limits::SlotHold> holds;
+        struct QueuedRun {
+            std::vector<limits::SlotHold> reservations;
             TimePoint latestStart;
         };
 
-        void pumpQueue(limits::FairQueue& queue, TimePoint now, Admitted& admitted);
+        void dequeueFrom(limits::FairQueue& queue, TimePoint now, DequeuedRuns& out);
 
         mutable std::mutex m_mutex;
         std::size_t m_maxQueued;
         limits::CapacityGate m_gate;
         std::map<ServiceId, limits::FairQueue> m_queues;
-        std::unordered_map<RunId, Waiting> m_waiting;
+        std::unordered_map<RunId, QueuedRun> m_queuedRuns;
     };
 
-    AdmissionVerdict QueuedAdmission::request(const AdmissionRequest& request, TimePoint now)
+    AdmissionResult QueuedAdmission::request(const AdmissionRequest& request, TimePoint now)
     {
         const std::lock_guard lock(m_mutex);
         auto& queue = m_queues[request.bottleneck];
-        if (queue.empty() && m_gate.tryEnter(request.holds))
-            return { Verdict::Start, {} };
+        if (queue.empty() && m_gate.tryEnter(request.reservations))
+            return { AdmissionDecision::Admit, {} };
         const double rate = std::max(0.1, m_gate.limit(request.bottleneck));
-        const auto wait = fromSeconds(queue.costAhead(request.account, request.weight) / rate);
-        const auto needed = fromSeconds(toSeconds(request.criticalPath) * safePath);
-        if (m_waiting.size() >= m_maxQueued || now + wait + needed > request.deadline)
-            return { Verdict::Refuse, wait };
+        const auto expectedWait = fromSeconds(queue.costAhead(request.account, request.weight) / rate);
+        const auto requiredTime = fromSeconds(toSeconds(request.criticalPath) * criticalPathMargin);
+        if (m_queuedRuns.size() >= m_maxQueued || now + expectedWait + requiredTime > request.deadline)
+            return { AdmissionDecision::Reject, expectedWait };
         queue.push(request.account, request.weight, { request.run, request.cost, request.priority, request.deadline });
-        m_waiting.emplace(request.run, Waiting { request.holds, request.deadline - needed });
-        return { Verdict::Wait, wait };
+        m_queuedRuns.emplace(request.run, QueuedRun { request.reservations, request.deadline - requiredTime });
+        return { AdmissionDecision::Queue, expectedWait };
     }
 
-    void QueuedAdmission::leave(const std::vector<limits::SlotHold>& holds)
+    void QueuedAdmission::release(const std::vector<limits::SlotHold>& reservations)
     {
         const std::lock_guard lock(m_mutex);
-        m_gate.leave(holds);
+        m_gate.leave(reservations);
     }
 
-    void QueuedAdmission::pumpQueue(limits::FairQueue& queue, TimePoint now, Admitted& admitted)
+    void QueuedAdmission::dequeueFrom(limits::FairQueue& queue, TimePoint now, DequeuedRuns& out)
     {
         while (const auto* front = queue.front()) {
-            const auto it = m_waiting.find(front->run);
-            const bool gone = it == m_waiting.end();
-            const bool late = !gone && it->second.latestStart < now;
-            if (!gone && !late && !m_gate.tryEnter(it->second.holds))
+            const auto it = m_queuedRuns.find(front->run);
+            const bool removed = it == m_queuedRuns.end();
+            const bool expired = !removed && it->second.latestStart < now;
+            if (!removed && !expired && !m_gate.tryEnter(it->second.reservations))
                 return;
-            if (late)
-                admitted.refused.push_back(front->run);
-            else if (!gone)
-                admitted.started.push_back({ front->run, it->second.holds });
-            if (!gone)
-                m_waiting.erase(it);
-            if (gone || late)
+            if (expired)
+                out.rejected.push_back(front->run);
+            else if (!removed)
+                out.admitted.push_back({ front->run, it->second.reservations });
+            if (!removed)
+                m_queuedRuns.erase(it);
+            if (removed || expired)
                 queue.drop();
             else
                 queue.pop();
         }
     }
 
-    Admission::Admitted QueuedAdmission::pump(TimePoint now)
+    Admission::DequeuedRuns QueuedAdmission::dequeueReady(TimePoint now)
     {
         const std::lock_guard lock(m_mutex);
-        Admitted admitted;
+        DequeuedRuns dequeued;
         for (auto& it : m_queues)
-            pumpQueue(it.second, now, admitted);
-        return admitted;
+            dequeueFrom(it.second, now, dequeued);
+        return dequeued;
     }
 
-    void QueuedAdmission::forget(RunId run)
+    void QueuedAdmission::removeQueued(RunId run)
     {
         const std::lock_guard lock(m_mutex);
-        m_waiting.erase(run);
+        m_queuedRuns.erase(run);
     }
 
-    void QueuedAdmission::setLimit(const ServiceId& service, double slots)
+    void QueuedAdmission::setSlotLimit(const ServiceId& service, double slots)
     {
         const std::lock_guard lock(m_mutex);
         m_gate.setLimit(service, slots);
@@ -116,10 +116,10 @@
         return m_gate.utilization(service);
     }
 
-    std::size_t QueuedAdmission::queued() const
+    std::size_t QueuedAdmission::queuedCount() const
     {
         const std::lock_guard lock(m_mutex);
-        return m_waiting.size();
+        return m_queuedRuns.size();
     }
 
 } // namespace
--- a/src/foxtailwheel/serving/Dispatcher.cpp
+++ b/src/foxtailwheel/serving/Dispatcher.cpp
@@ -20,19 +20,19 @@
     using pipeline::CallFailure;
     using pipeline::Reason;
 
-    /// Share of the critical path that a new run must have time for.
-    constexpr double acceptableShare = 0.9;
+    /// Fraction of the typical critical path that the time limit of a new run must cover.
+    constexpr double minDeadlineFraction = 0.9;
     constexpr Duration limitRefreshPeriod = 100ms;
-    /// Busy share of a pool below which an instance may use more than its own share of the slots.
-    constexpr double idleToBorrow = 1.0;
+    /// Busy share of a pool below which an instance may use more slots than its own share.
+    constexpr double borrowBelowBusyShare = 1.0;
     constexpr double borrowSlope = 5;
 
     struct PlacedCall {
         BackendServerId server;
         ServiceId service;
         TimePoint sentAt;
-        Cost call;
-        Cost link;
+        Cost callCost;
+        Cost linkCost;
         bool idempotent = true;
     };
 
@@ -46,15 +46,15 @@
         SubmitRequest request;
         std::string bodyHash;
         std::shared_ptr<const Catalog> catalog;
-        std::vector<limits::SlotHold> holds;
+        std::vector<limits::SlotHold> reservations;
         std::map<AttemptId, PlacedCall> calls;
-        std::map<StageIndex, std::vector<BackendServerId>> tried;
+        std::map<StageIndex, std::vector<BackendServerId>> triedServers;
         std::map<StageIndex, StageCost> costs;
-        std::uint64_t countedStrays = 0;
+        std::uint64_t countedUnmatched = 0;
         TimePoint submittedAt;
         TimePoint startedAt;
         bool started = false;
-        bool entered = false;
+        bool admitted = false;
         bool replied = false;
     };
 
@@ -102,44 +102,47 @@
     private:
         Shard& shardOf(RunId run) { return m_shards[run.value() % m_shards.size()]; }
         std::shared_ptr<routing::ServerPool> poolOf(const ServiceId& service) const;
-        Reason check(const SubmitRequest& request, Duration timeLimit, const pipeline::Plan& plan, TimePoint now,
+        Reason validate(const SubmitRequest& request, Duration timeLimit, const pipeline::Plan& plan, TimePoint now,
             Duration& retryAfter);
         AdmissionRequest admissionRequest(const RunEntry& entry, const config::ClientAccount& account) const;
         void admit(RunEntry& entry, const config::ClientAccount& account, TimePoint now, Actions& out);
-        void begin(RunEntry& entry, TimePoint now, Actions& out);
-        void refuse(RunEntry& entry, Reason reason, Duration retryAfter, Actions& out);
-        void perform(RunEntry& entry, pipeline::Actions actions, TimePoint now, Actions& out);
-        void carry(RunEntry& entry, pipeline::Action action, TimePoint now, pipeline::Actions& more, Actions& out);
-        void send(RunEntry& entry, pipeline::StartCall call, TimePoint now, pipeline::Actions& more, Actions& out);
-        void stop(RunEntry& entry, const pipeline::CancelCall& cancel, TimePoint now, Actions& out);
-        void reply(RunEntry& entry, pipeline::Outcome outcome, Actions& out);
-        void callEnded(RunEntry& entry, const AttemptId& id, routing::CallSign sign, bool used, TimePoint now);
-        static double borrowed(double busyShare);
+        void startRun(RunEntry& entry, TimePoint now, Actions& out);
+        void rejectRun(RunEntry& entry, Reason reason, Duration retryAfter, Actions& out);
+        void executeActions(RunEntry& entry, pipeline::Actions actions, TimePoint now, Actions& out);
+        void executeAction(
+            RunEntry& entry, pipeline::Action action, TimePoint now, pipeline::Actions& followUps, Actions& out);
+        void sendCall(
+            RunEntry& entry, pipeline::StartCall call, TimePoint now, pipeline::Actions& followUps, Actions& out);
+        void cancelCall(RunEntry& entry, const pipeline::CancelCall& cancel, TimePoint now, Actions& out);
+        void sendReply(RunEntry& entry, pipeline::Outcome outcome, Actions& out);
+        void onCallEnded(
+            RunEntry& entry, const AttemptId& id, routing::CallSign callOutcome, bool resultUsed, TimePoint now);
+        static double borrowedShare(double busyShare);
         void refreshLimits(TimePoint now);
-        void pump(TimePoint now, Actions& out);
+        void startQueuedRuns(TimePoint now, Actions& out);
 
-        /// Finds the run, lets `event` act on it under the shard's lock, and carries out what follows.
-        /// A result for an unknown run is counted as stray.
-        template <class Event> void handle(RunId id, bool isResult, TimePoint now, Actions& out, Event event)
+        /// Applies `event` to the run under the lock of its shard and executes the resulting actions.
+        /// A result for an unknown run is counted as unmatched.
+        template <class Event> void handleEvent(RunId id, bool isResult, TimePoint now, Actions& out, Event event)
         {
             {
                 auto& shard = shardOf(id);
                 const std::lock_guard lock(shard.mutex);
                 const auto it = shard.runs.find(id);
                 if (it == shard.runs.end()) {
-                    m_strays += isResult ? 1 : 0;
+                    m_unmatchedResults += isResult ? 1 : 0;
                     return;
                 }
                 pipeline::Actions actions;
                 event(*it->second, actions);
-                perform(*it->second, std::move(actions), now, out);
-                settle(shard, it);
+                executeActions(*it->second, std::move(actions), now, out);
+                finalizeIfReplied(shard, it);
             }
             if (m_options.admission)
-                pump(now, out);
+                startQueuedRuns(now, out);
         }
 
-        void settle(Shard& shard, std::unordered_map<RunId, std::unique_ptr<RunEntry>>::iterator it);
+        void finalizeIfReplied(Shard& shard, std::unordered_map<RunId, std::unique_ptr<RunEntry>>::iterator it);
 
         DispatcherOptions m_options;
         std::vector<Shard> m_shards;
@@ -152,9 +155,9 @@
         std::unique_ptr<Admission> m_admission;
         std::atomic<std::uint64_t> m_nextRun;
         std::atomic<std::size_t> m_instances { 1 };
-        std::atomic<std::uint64_t> m_strays { 0 };
-        std::atomic<std::int64_t> m_limitsAt { 0 };
-        std::atomic<bool> m_releasedRoom { false };
+        std::atomic<std::uint64_t> m_unmatchedResults { 0 };
+        std::atomic<std::int64_t> m_limitsRefreshedAt { 0 };
+        std::atomic<bool> m_slotsReleased { false };
         std::atomic<bool> m_accepting { true };
     };
 
@@ -166,7 +169,7 @@
         m_catalog = makeCatalog(version, std::move(declarations), m_catalog.get(), m_options.pools);
         for (const auto& it : m_catalog->pools)
             it.second->setLeaving(m_leaving);
-        m_limitsAt = 0;
+        m_limitsRefreshedAt = 0;
         return true;
     }
 
@@ -179,7 +182,7 @@
     void ShardedDispatcher::setInstances(std::size_t n)
     {
         m_instances = std::max<std::size_t>(1, n);
-        m_limitsAt = 0;
+        m_limitsRefreshedAt = 0;
         const std::lock_guard lock(m_rateMutex);
         m_rates.setInstances(m_instances);
     }
@@ -205,7 +208,7 @@
         return it == m_catalog->pools.end() ? nullptr : it->second;
     }
 
-    Reason ShardedDispatcher::check(const SubmitRequest& request, Duration timeLimit, const pipeline::Plan& plan,
+    Reason ShardedDispatcher::validate(const SubmitRequest& request, Duration timeLimit, const pipeline::Plan& plan,
         TimePoint now, Duration& retryAfter)
     {
         if (!m_accepting)
@@ -221,7 +224,7 @@
                 return Reason::RateLimited;
         }
         const auto typical = plan.criticalPath([](const pipeline::Stage& it) { return it.typicalTime; });
-        if (m_options.admission && timeLimit < fromSeconds(toSeconds(typical) * acceptableShare))
+        if (m_options.admission && timeLimit < fromSeconds(toSeconds(typical) * minDeadlineFraction))
             return Reason::DeadlineTooShort;
         return Reason::None;
     }
@@ -237,17 +240,17 @@
             = plan.criticalPath([this](const pipeline::Stage& it) { return m_policy.expectedTime(it); });
         const double typicalPath
             = toSeconds(plan.criticalPath([](const pipeline::Stage& it) { return it.typicalTime; }));
-        double highest = -1;
+        double highestLoad = -1;
         for (const auto& it : plan.stages) {
             const double seconds = toSeconds(it.typicalTime);
-            request.holds.push_back({ it.service, seconds / typicalPath });
+            request.reservations.push_back({ it.service, seconds / typicalPath });
             const auto& servers = entry.catalog->declarations->findService(it.service)->servers;
-            const double use = seconds
+            const double load = seconds
                 / static_cast<double>(
                     servers.size() * entry.catalog->declarations->findService(it.service)->concurrency);
-            if (use <= highest)
+            if (load <= highestLoad)
                 continue;
-            highest = use;
+            highestLoad = load;
             request.bottleneck = it.service;
             request.cost = seconds;
         }
@@ -261,14 +264,14 @@
         const auto timeLimit
             = request.timeLimit > Duration {} ? std::min(request.timeLimit, plan->deadline) : plan->deadline;
         Duration retryAfter {};
-        const auto reason = check(request, timeLimit, *plan, now, retryAfter);
+        const auto reason = validate(request, timeLimit, *plan, now, retryAfter);
         pipeline::RunRequest run { id, plan, request.body, now + timeLimit, request.stream };
         auto entry = std::make_unique<RunEntry>(std::move(run), m_policy);
         entry->request = std::move(request);
         entry->catalog = current;
         entry->submittedAt = now;
         if (reason != Reason::None) {
-            refuse(*entry, reason, retryAfter, out);
+            rejectRun(*entry, reason, retryAfter, out);
             return;
         }
         if (plan->hasEffect())
@@ -278,105 +281,105 @@
             const std::lock_guard lock(shard.mutex);
             const auto it = shard.runs.emplace(id, std::move(entry)).first;
             admit(*it->second, *current->accounts.at(it->second->request.account), now, out);
-            settle(shard, it);
+            finalizeIfReplied(shard, it);
         }
         if (m_options.admission)
-            pump(now, out);
+            startQueuedRuns(now, out);
     }
 
     void ShardedDispatcher::admit(RunEntry& entry, const config::ClientAccount& account, TimePoint now, Actions& out)
     {
         if (!m_options.admission) {
-            begin(entry, now, out);
+            startRun(entry, now, out);
             return;
         }
         refreshLimits(now);
         const auto request = admissionRequest(entry, account);
-        entry.holds = request.holds;
-        const auto verdict = m_admission->request(request, now);
-        switch (verdict.verdict) {
-        case Verdict::Start:
-            entry.entered = true;
-            begin(entry, now, out);
+        entry.reservations = request.reservations;
+        const auto result = m_admission->request(request, now);
+        switch (result.decision) {
+        case AdmissionDecision::Admit:
+            entry.admitted = true;
+            startRun(entry, now, out);
             return;
-        case Verdict::Wait:
+        case AdmissionDecision::Queue:
             out.push_back(pipeline::SetTimer { { entry.run.request().id, pipeline::TimerKind::Deadline, 0, {} },
                 entry.run.request().deadline - request.criticalPath / 2 });
             return;
-        case Verdict::Refuse:
-            refuse(entry, Reason::Overloaded, verdict.expectedWait, out);
+        case AdmissionDecision::Reject:
+            rejectRun(entry, Reason::Overloaded, result.expectedWait, out);
             return;
         }
     }
 
-    void ShardedDispatcher::begin(RunEntry& entry, TimePoint now, Actions& out)
+    void ShardedDispatcher::startRun(RunEntry& entry, TimePoint now, Actions& out)
     {
         entry.started = true;
         entry.startedAt = now;
         pipeline::Actions actions;
         entry.run.start(now, actions);
-        perform(entry, std::move(actions), now, out);
+        executeActions(entry, std::move(actions), now, out);
     }
 
-    void ShardedDispatcher::refuse(RunEntry& entry, Reason reason, Duration retryAfter, Actions& out)
+    void ShardedDispatcher::rejectRun(RunEntry& entry, Reason reason, Duration retryAfter, Actions& out)
     {
         pipeline::Outcome outcome = pipeline::decideOutcome(nullptr, false, reason);
         outcome.retryAfter = retryAfter;
-        reply(entry, std::move(outcome), out);
+        sendReply(entry, std::move(outcome), out);
     }
 
-    void ShardedDispatcher::perform(RunEntry& entry, pipeline::Actions actions, TimePoint now, Actions& out)
+    void ShardedDispatcher::executeActions(RunEntry& entry, pipeline::Actions actions, TimePoint now, Actions& out)
     {
         while (!actions.empty()) {
-            pipeline::Actions more;
+            pipeline::Actions followUps;
             for (auto& it : actions)
-                carry(entry, std::move(it), now, more, out);
-            actions = std::move(more);
+                executeAction(entry, std::move(it), now, followUps, out);
+            actions = std::move(followUps);
         }
-        const auto strays = entry.run.counters().strayResults;
-        m_strays += strays - entry.countedStrays;
-        entry.countedStrays = strays;
+        const auto unmatched = entry.run.counters().unmatchedResults;
+        m_unmatchedResults += unmatched - entry.countedUnmatched;
+        entry.countedUnmatched = unmatched;
     }
 
-    void ShardedDispatcher::carry(
-        RunEntry& entry, pipeline::Action action, TimePoint now, pipeline::Actions& more, Actions& out)
+    void ShardedDispatcher::executeAction(
+        RunEntry& entry, pipeline::Action action, TimePoint now, pipeline::Actions& followUps, Actions& out)
     {
-        const auto keyOf = [&entry](const ServiceId& service) {
+        const auto claimKeyFor = [&entry](const ServiceId& service) {
             return ClaimKey { entry.request.account, service, entry.request.key.value_or(IdempotencyKey()) };
         };
         if (auto* start = std::get_if<pipeline::StartCall>(&action))
-            send(entry, std::move(*start), now, more, out);
+            sendCall(entry, std::move(*start), now, followUps, out);
         else if (const auto* cancel = std::get_if<pipeline::CancelCall>(&action))
-            stop(entry, *cancel, now, out);
+            cancelCall(entry, *cancel, now, out);
         else if (const auto* timer = std::get_if<pipeline::SetTimer>(&action))
             out.push_back(*timer);
         else if (const auto* claim = std::get_if<pipeline::InsertClaim>(&action))
             out.push_back(
-                ClaimCall { claim->run, claim->stage, keyOf(claim->service), entry.bodyHash, claim->deadline });
+                ClaimCall { claim->run, claim->stage, claimKeyFor(claim->service), entry.bodyHash, claim->deadline });
         else if (auto* record = std::get_if<pipeline::RecordClaim>(&action))
             out.push_back(EndClaim {
-                record->run, record->stage, keyOf(record->service), record->end, std::move(record->answer) });
+                record->run, record->stage, claimKeyFor(record->service), record->outcome, std::move(record->answer) });
         else if (auto* emit = std::get_if<pipeline::EmitTokens>(&action))
             out.push_back(std::move(*emit));
         else if (auto* finish = std::get_if<pipeline::Finish>(&action))
-            reply(entry, std::move(finish->outcome), out);
+            sendReply(entry, std::move(finish->outcome), out);
     }
 
-    void ShardedDispatcher::send(
-        RunEntry& entry, pipeline::StartCall call, TimePoint now, pipeline::Actions& more, Actions& out)
+    void ShardedDispatcher::sendCall(
+        RunEntry& entry, pipeline::StartCall call, TimePoint now, pipeline::Actions& followUps, Actions& out)
     {
         const auto& stage = *call.stage;
-        routing::PlacementRequest wanted;
+        routing::PlacementRequest placementRequest;
         if (stage.kind == config::ServiceKind::ModelEngine)
-            wanted.prefix = entry.request.prefix;
-        wanted.avoid = entry.tried[call.id.stage];
-        wanted.careful = !stage.idempotent;
-        const auto placement = entry.catalog->pools.at(stage.service)->place(wanted, now);
+            placementRequest.prefix = entry.request.prefix;
+        placementRequest.avoid = entry.triedServers[call.id.stage];
+        placementRequest.careful = !stage.idempotent;
+        const auto placement = entry.catalog->pools.at(stage.service)->place(placementRequest, now);
         if (!placement) {
-            entry.run.onFailure(call.id, CallFailure::NotSent, now, more);
+            entry.run.onFailure(call.id, CallFailure::NotSent, now, followUps);
             return;
         }
-        entry.tried[call.id.stage].push_back(placement->server.id);
+        entry.triedServers[call.id.stage].push_back(placement->server.id);
         auto& cost = entry.costs[call.id.stage];
         const auto price = entry.catalog->declarations->findService(stage.service)->price;
         cost.service = stage.service;
@@ -392,11 +395,11 @@
         std::string key;
         if (!stage.idempotent)
             key = entry.request.account.value() + "/" + stage.service.value() + "/" + entry.request.key->value();
-        out.push_back(SendCall {
-            std::move(call), placement->server, entry.run.request().plan->priority, wanted.prefix, std::move(key) });
+        out.push_back(SendCall { std::move(call), placement->server, entry.run.request().plan->priority,
+            placementRequest.prefix, std::move(key) });
     }
 
-    void ShardedDispatcher::stop(RunEntry& entry, const pipeline::CancelCall& cancel, TimePoint now, Actions& out)
+    void ShardedDispatcher::cancelCall(RunEntry& entry, const pipeline::CancelCall& cancel, TimePoint now, Actions& out)
     {
         const auto it = entry.calls.find(cancel.id);
         if (it == entry.calls.end())
@@ -406,7 +409,7 @@
         entry.calls.erase(it);
     }
 
-    void ShardedDispatcher::reply(RunEntry& entry, pipeline::Outcome outcome, Actions& out)
+    void ShardedDispatcher::sendReply(RunEntry& entry, pipeline::Outcome outcome, Actions& out)
     {
         const bool answered = outcome.kind == pipeline::OutcomeKind::Answered;
         Reply reply { entry.run.request().id, entry.request.account, std::move(outcome), {}, entry.run.counters(), {} };
@@ -422,82 +425,82 @@
         out.push_back(std::move(reply));
     }
 
-    void ShardedDispatcher::callEnded(
-        RunEntry& entry, const AttemptId& id, routing::CallSign sign, bool used, TimePoint now)
+    void ShardedDispatcher::onCallEnded(
+        RunEntry& entry, const AttemptId& id, routing::CallSign callOutcome, bool resultUsed, TimePoint now)
     {
         const auto it = entry.calls.find(id);
         if (it == entry.calls.end())
             return;
         const auto& call = it->second;
-        entry.catalog->pools.at(call.service)->ended(call.server, { sign, now - call.sentAt, {} }, now);
-        if (used) {
+        entry.catalog->pools.at(call.service)->ended(call.server, { callOutcome, now - call.sentAt, {} }, now);
+        if (resultUsed) {
             auto& wasted = entry.costs[id.stage].wasted;
-            wasted.microCredits -= call.call.microCredits + call.link.microCredits;
+            wasted.microCredits -= call.callCost.microCredits + call.linkCost.microCredits;
         }
         entry.calls.erase(it);
     }
 
-    void ShardedDispatcher::settle(Shard& shard, std::unordered_map<RunId, std::unique_ptr<RunEntry>>::iterator it)
+    void ShardedDispatcher::finalizeIfReplied(
+        Shard& shard, std::unordered_map<RunId, std::unique_ptr<RunEntry>>::iterator it)
     {
         auto& entry = *it->second;
-        if (entry.replied && entry.entered) {
-            entry.entered = false;
-            m_admission->leave(entry.holds);
-            m_releasedRoom = true;
+        if (entry.replied && entry.admitted) {
+            entry.admitted = false;
+            m_admission->release(entry.reservations);
+            m_slotsReleased = true;
         }
         if (entry.replied && !entry.started)
-            m_admission->forget(it->first);
+            m_admission->removeQueued(it->first);
         if (entry.replied && (!entry.started || entry.run.closed()))
             shard.runs.erase(it);
     }
 
-    /// Slots that may be filled beyond the own share while the pool as a whole has idle ones, as a multiple of the
-    /// share.
-    double ShardedDispatcher::borrowed(double busyShare)
+    /// Slots that may be used beyond this instance's share while the pool has idle ones, as a multiple of the share.
+    double ShardedDispatcher::borrowedShare(double busyShare)
     {
-        return std::clamp((idleToBorrow - busyShare) * borrowSlope, 0.0, 1.0);
+        return std::clamp((borrowBelowBusyShare - busyShare) * borrowSlope, 0.0, 1.0);
     }
 
     void ShardedDispatcher::refreshLimits(TimePoint now)
     {
-        auto at = m_limitsAt.load();
+        auto at = m_limitsRefreshedAt.load();
         const auto ticks = now.time_since_epoch().count();
         if (at != 0 && ticks - at < limitRefreshPeriod.count())
             return;
-        if (!m_limitsAt.compare_exchange_strong(at, std::max<std::int64_t>(1, ticks)))
+        if (!m_limitsRefreshedAt.compare_exchange_strong(at, std::max<std::int64_t>(1, ticks)))
             return;
         for (const auto& it : catalog()->pools) {
             const double share = it.second->slots(now) / static_cast<double>(m_instances);
-            m_admission->setLimit(
-                it.first, std::max(1.0, share * (m_options.overcommit + borrowed(it.second->busyShare()))));
+            m_admission->setSlotLimit(
+                it.first, std::max(1.0, share * (m_options.overcommit + borrowedShare(it.second->busyShare()))));
         }
     }
 
-    void ShardedDispatcher::pump(TimePoint now, Actions& out)
+    void ShardedDispatcher::startQueuedRuns(TimePoint now, Actions& out)
     {
-        while (m_releasedRoom.exchange(false)) {
-            const auto admitted = m_admission->pump(now);
-            for (const auto& started : admitted.started) {
-                auto& shard = shardOf(started.run);
+        while (m_slotsReleased.exchange(false)) {
+            const auto dequeued = m_admission->dequeueReady(now);
+            for (const auto& admitted : dequeued.admitted) {
+                auto& shard = shardOf(admitted.run);
                 const std::lock_guard lock(shard.mutex);
-                const auto it = shard.runs.find(started.run);
+                const auto it = shard.runs.find(admitted.run);
                 if (it == shard.runs.end()) {
-                    m_admission->leave(started.holds);
-                    m_releasedRoom = true;
+                    m_admission->release(admitted.reservations);
+                    m_slotsReleased = true;
                     continue;
                 }
-                it->second->entered = true;
-                begin(*it->second, now, out);
-                settle(shard, it);
+                it->second->admitted = true;
+                startRun(*it->second, now, out);
+                finalizeIfReplied(shard, it);
             }
-            for (const auto id : admitted.refused) {
+            for (const auto id : dequeued.rejected) {
                 auto& shard = shardOf(id);
                 const std::lock_guard lock(shard.mutex);
                 const auto it = shard.runs.find(id);
                 if (it == shard.runs.end())
                     continue;
-                refuse(*it->second, Reason::Overloaded, it->second->run.request().plan->deadline / 2, out);
-                settle(shard, it);
+                rejectRun(*it->second, Reason::Overloaded, it->second->run.request().plan->deadline / 2, out);
+                finalizeIfReplied(shard, it);
             }
         }
     }
@@ -514,37 +517,37 @@
     void ShardedDispatcher::onTokens(
         const AttemptId& id, std::uint64_t offset, const std::vector<std::string>& tokens, TimePoint now, Actions& out)
     {
-        handle(id.run, true, now, out,
+        handleEvent(id.run, true, now, out,
             [&](RunEntry& entry, pipeline::Actions& actions) { entry.run.onTokens(id, offset, tokens, now, actions); });
     }
 
     void ShardedDispatcher::onStreamEnd(const AttemptId& id, std::uint64_t total, TimePoint now, Actions& out)
     {
-        handle(id.run, true, now, out, [&](RunEntry& entry, pipeline::Actions& actions) {
-            callEnded(entry, id, routing::CallSign::Good, true, now);
+        handleEvent(id.run, true, now, out, [&](RunEntry& entry, pipeline::Actions& actions) {
+            onCallEnded(entry, id, routing::CallSign::Good, true, now);
             entry.run.onStreamEnd(id, total, now, actions);
         });
     }
 
     void ShardedDispatcher::onAnswer(const AttemptId& id, pipeline::Payload body, TimePoint now, Actions& out)
     {
-        handle(id.run, true, now, out, [&](RunEntry& entry, pipeline::Actions& actions) {
-            callEnded(entry, id, routing::CallSign::Good, true, now);
+        handleEvent(id.run, true, now, out, [&](RunEntry& entry, pipeline::Actions& actions) {
+            onCallEnded(entry, id, routing::CallSign::Good, true, now);
             entry.run.onAnswer(id, std::move(body), now, actions);
         });
     }
 
     void ShardedDispatcher::onFailure(const AttemptId& id, CallFailure failure, TimePoint now, Actions& out)
     {
-        routing::CallSign sign = routing::CallSign::Broken;
+        routing::CallSign callOutcome = routing::CallSign::Broken;
         if (failure == CallFailure::NotSent)
-            sign = routing::CallSign::Unreachable;
+            callOutcome = routing::CallSign::Unreachable;
         else if (failure == CallFailure::Refused)
-            sign = routing::CallSign::Busy;
+            callOutcome = routing::CallSign::Busy;
         else if (failure == CallFailure::Rejected)
-            sign = routing::CallSign::Good;
-        handle(id.run, true, now, out, [&](RunEntry& entry, pipeline::Actions& actions) {
-            callEnded(entry, id, sign, false, now);
+            callOutcome = routing::CallSign::Good;
+        handleEvent(id.run, true, now, out, [&](RunEntry& entry, pipeline::Actions& actions) {
+            onCallEnded(entry, id, callOutcome, false, now);
             entry.run.onFailure(id, failure, now, actions);
         });
     }
@@ -552,29 +555,29 @@
     void ShardedDispatcher::onClaim(
         RunId run, StageIndex stage, const pipeline::ClaimResult& result, TimePoint now, Actions& out)
     {
-        handle(run, true, now, out,
+        handleEvent(run, true, now, out,
             [&](RunEntry& entry, pipeline::Actions& actions) { entry.run.onClaim(stage, result, now, actions); });
     }
 
     void ShardedDispatcher::onTimer(const pipeline::TimerId& id, TimePoint now, Actions& out)
     {
-        handle(id.run, false, now, out, [&](RunEntry& entry, pipeline::Actions& actions) {
+        handleEvent(id.run, false, now, out, [&](RunEntry& entry, pipeline::Actions& actions) {
             if (entry.started) {
                 if (id.kind != pipeline::TimerKind::Deadline || now >= entry.run.request().deadline)
                     entry.run.onTimer(id, now, actions);
             } else if (!entry.replied) {
-                refuse(entry, Reason::Overloaded, entry.run.request().plan->deadline / 2, out);
+                rejectRun(entry, Reason::Overloaded, entry.run.request().plan->deadline / 2, out);
             }
         });
     }
 
     void ShardedDispatcher::onCallerLeft(RunId run, TimePoint now, Actions& out)
     {
-        handle(run, false, now, out, [&](RunEntry& entry, pipeline::Actions& actions) {
+        handleEvent(run, false, now, out, [&](RunEntry& entry, pipeline::Actions& actions) {
             if (entry.started)
-                entry.run.onCallerLeft(now, actions);
+                entry.run.onCallerDisconnected(now, actions);
             else if (!entry.replied)
-                refuse(entry, Reason::CallerLeft, {}, out);
+                rejectRun(entry, Reason::CallerDisconnected, {}, out);
         });
     }
 
@@ -611,8 +614,8 @@
             const std::lock_guard lock(it.mutex);
             status.runs += it.runs.size();
         }
-        status.queued = m_admission->queued();
-        status.strayResults = m_strays;
+        status.queued = m_admission->queuedCount();
+        status.strayResults = m_unmatchedResults;
         return status;
     }
 
--- a/src/foxtailwheel/serving/DispatcherTest.cpp
+++ b/src/foxtailwheel/serving/DispatcherTest.cpp
@@ -15,14 +15,14 @@
 
 } // namespace
 
-Test(Dispatcher, aFifthOfTheEnginesMayBreakAtOnce)
+Test(Dispatcher, answersAllRunsWhileAFifthOfTheEnginesFail)
 {
     serving::DispatcherOptions options;
     options.pools.self = InstanceId("instance-0");
     options.pools.zone = AvailabilityZoneId("a");
     const auto dispatcher = serving::makeDispatcher(options);
     dispatcher->configure(ConfigVersion(1), testing::smallDeployment(20));
-    const std::set<BackendServerId> broken { BackendServerId("generate-0"), BackendServerId("generate-1"),
+    const std::set<BackendServerId> failing { BackendServerId("generate-0"), BackendServerId("generate-1"),
         BackendServerId("generate-2"), BackendServerId("generate-3") };
     serving::Actions actions;
     for (int i = 0; i < 100; ++i) {
@@ -33,23 +33,23 @@
         dispatcher->submit(dispatcher->newRun(), std::move(request), start, actions);
     }
     std::size_t answered = 0;
-    std::deque<serving::Action> waiting(actions.begin(), actions.end());
-    while (!waiting.empty()) {
-        const auto action = std::move(waiting.front());
-        waiting.pop_front();
-        serving::Actions more;
+    std::deque<serving::Action> pending(actions.begin(), actions.end());
+    while (!pending.empty()) {
+        const auto action = std::move(pending.front());
+        pending.pop_front();
+        serving::Actions followUps;
         if (const auto* call = std::get_if<serving::SendCall>(&action)) {
             const auto id = call->call.id;
-            if (broken.contains(call->server.id))
-                dispatcher->onFailure(id, pipeline::CallFailure::Broken, start, more);
+            if (failing.contains(call->server.id))
+                dispatcher->onFailure(id, pipeline::CallFailure::Broken, start, followUps);
             else if (call->call.stage->kind == config::ServiceKind::ModelEngine)
-                dispatcher->onStreamEnd(id, 0, start, more);
+                dispatcher->onStreamEnd(id, 0, start, followUps);
             else
-                dispatcher->onAnswer(id, pipeline::payloadOf("1"), start, more);
+                dispatcher->onAnswer(id, pipeline::payloadOf("1"), start, followUps);
         } else if (const auto* reply = std::get_if<serving::Reply>(&action)) {
             answered += reply->outcome.kind == pipeline::OutcomeKind::Answered ? 1 : 0;
         }
-        waiting.insert(waiting.end(), more.begin(), more.end());
+        pending.insert(pending.end(), followUps.begin(), followUps.end());
     }
     cr_assert_eq(answered, 100U);
     cr_assert_eq(dispatcher->status().runs, 0U);
