--- a/src/foxtailwheel/serving/Dispatcher.cpp
+++ b/src/foxtailwheel/serving/Dispatcher.cpp
@@ -25,6 +25,7 @@
     constexpr Duration limitRefreshPeriod = 100ms;
     /// Busy share of a pool below which an instance may use more slots than its own share.
     constexpr double borrowBelowBusyShare = 1.0;
+    /// Multiple of the own share that may be borrowed, per unit of busy share below the threshold.
     constexpr double borrowSlope = 5;
 
     struct PlacedCall {
