--- a/src/foxtailwheel/pipeline/Run.cpp
+++ b/src/foxtailwheel/pipeline/Run.cpp
@@ -125,7 +125,7 @@
     bool cannotFinishInTime(StageIndex stage, TimePoint now) const;
     void startReadyStages(TimePoint now, Actions& out);
     void startStage(StageIndex stage, TimePoint now, Actions& out);
-    void dispatch(StageIndex stage, bool isExtra, TimePoint now, Actions& out);
+    void dispatch(StageIndex stage, bool isRetryOrHedge, TimePoint now, Actions& out);
     CallDeadlines callDeadlines(StageIndex stage, TimePoint now) const;
     StageInput stageInput(StageIndex stage) const;
     void setHedgeTimer(StageIndex stage, AttemptNumber attempt, TimePoint now, Actions& out);
@@ -209,7 +209,7 @@
     return { deadline, std::max(deadline - fromSeconds(toSeconds(callTime) * minTimeFraction), now) };
 }
 
-void Run::Impl::dispatch(StageIndex stage, bool isExtra, TimePoint now, Actions& out)
+void Run::Impl::dispatch(StageIndex stage, bool isRetryOrHedge, TimePoint now, Actions& out)
 {
     auto& state = stages[stage];
     const AttemptNumber number(state.attempts.size() + 1);
@@ -217,7 +217,7 @@
     const auto deadlines = callDeadlines(stage, now);
     const auto responseDeadline = stageAt(stage).idempotent ? deadlines.deadline : request.deadline + lingerTimeout;
     out.push_back(StartCall { attemptId(stage, number), &stageAt(stage), stageInput(stage), deadlines.deadline,
-        responseDeadline, deadlines.sendBy, state.tokenCount, state.text, isExtra });
+        responseDeadline, deadlines.sendBy, state.tokenCount, state.text, isRetryOrHedge });
     if (stageAt(stage).idempotent)
         setHedgeTimer(stage, number, now, out);
 }
--- a/src/foxtailwheel/serving/Dispatcher.cpp
+++ b/src/foxtailwheel/serving/Dispatcher.cpp
@@ -71,7 +71,7 @@
             , m_shards(m_options.shards)
             , m_policy([this] { return catalog(); }, m_options.hedging, m_options.extraShare)
             , m_admission(Admission::create(m_options.maxQueued))
-            , m_nextRun(hashOf(m_options.pools.self.value(), m_options.pools.seed) << 20U)
+            , m_nextRunId(hashOf(m_options.pools.self.value(), m_options.pools.seed) << 20U)
         {
         }
 
@@ -80,7 +80,7 @@
         void setInstances(std::size_t n) override;
         void setLeaving(const std::set<BackendServerId>& leaving) override;
         void stopAccepting() override { m_accepting = false; }
-        RunId newRun() override { return RunId(m_nextRun++); }
+        RunId newRun() override { return RunId(m_nextRunId++); }
         void submit(RunId id, SubmitRequest request, TimePoint now, Actions& out) override;
         void onSent(const AttemptId& id, TimePoint now) override;
         void onTokens(const AttemptId& id, std::uint64_t offset, const std::vector<std::string>& tokens, TimePoint now,
@@ -154,7 +154,7 @@
         std::mutex m_rateMutex;
         limits::RateLimiter m_rates;
         std::unique_ptr<Admission> m_admission;
-        std::atomic<std::uint64_t> m_nextRun;
+        std::atomic<std::uint64_t> m_nextRunId;
         std::atomic<std::size_t> m_instances { 1 };
         std::atomic<std::uint64_t> m_unmatchedResults { 0 };
         std::atomic<std::int64_t> m_limitsRefreshedAt { 0 };
