--- a/include/foxtailwheel/serving/BatchForecast.h
+++ b/include/foxtailwheel/serving/BatchForecast.h
@@ -9,33 +9,33 @@
 
 namespace foxtailwheel::serving {
 
-/// @brief Foretells how long pieces wait, from what comes in and from what calls take.
+/// @brief Predicts how long pieces wait, based on the arrival rates and on the measured duration of calls.
 ///
-/// More urgent pieces that are still to come go ahead, so a piece only gets what they leave of the servers. Not
+/// More urgent pieces that arrive later are sent first, so a piece only gets the throughput that they leave unused. Not
 /// thread-safe.
 class BatchForecast {
 public:
     explicit BatchForecast(const config::BatchLimits& limits);
 
     void setLimits(const config::BatchLimits& limits) { m_limits = limits; }
-    /// @brief Pieces of one priority came in that can meet their goal.
-    void arrived(std::uint32_t priority, std::size_t pieces, TimePoint now);
-    /// @brief A call was answered.
-    void answered(std::size_t pieces, Duration time);
-    /// @brief Time of a call with so many pieces, as calls took of late.
+    /// @brief Records the arrival of pieces of one priority that can meet their latency target.
+    void recordArrival(std::uint32_t priority, std::size_t pieces, TimePoint now);
+    /// @brief Records the duration of a call that was answered.
+    void recordCall(std::size_t pieces, Duration time);
+    /// @brief Returns the expected duration of a call with `pieces` pieces, based on recent calls.
     Duration callTime(std::size_t pieces) const;
-    /// @brief Pieces that so many busy servers make in a second, with full calls.
-    double capacity(double servers) const;
-    /// @brief Time until pieces are made that have `ahead` others before them.
-    /// @param late Their goal cannot be met any more, so that all others go first.
-    /// @param ahead Pieces that wait and go first, the asked ones included.
-    /// @param servers Calls in progress at once.
-    Duration wait(std::uint32_t priority, bool late, std::size_t ahead, double servers, TimePoint now) const;
+    /// @brief Returns the pieces per second that `servers` busy servers process with full calls.
+    double throughput(double servers) const;
+    /// @brief Returns the expected time until pieces with `ahead` pieces before them are processed.
+    /// @param late They cannot meet their latency target, so that all others are sent first.
+    /// @param ahead Queued pieces that are sent first, including the pieces in question.
+    /// @param servers Number of concurrent calls.
+    Duration expectedWait(std::uint32_t priority, bool late, std::size_t ahead, double servers, TimePoint now) const;
 
 private:
     config::BatchLimits m_limits;
     std::map<std::uint32_t, limits::RateMeter> m_arrivals; ///< By priority.
-    double m_slowness = 1; ///< Measured time of calls against the declared time, smoothed.
+    double m_callTimeRatio = 1; ///< Ratio of measured to declared call duration, exponentially smoothed.
 };
 
 } // namespace foxtailwheel::serving
--- a/include/foxtailwheel/serving/BatchQueue.h
+++ b/include/foxtailwheel/serving/BatchQueue.h
@@ -16,28 +16,28 @@
 
 namespace foxtailwheel::serving {
 
-/// @brief Number of one call to a backend server, unique in a process.
+/// @brief ID of one call to a backend server, unique in a process.
 using CallId = StrongNumber<struct CallTag>;
 
-/// @brief Number of one group of pieces that were asked for together, chosen by who asks.
+/// @brief ID of a group of pieces that are requested together, assigned by the requester.
 using PieceGroupId = StrongNumber<struct PieceGroupTag>;
 
-/// @brief A result that lies at the backend server that made it.
+/// @brief Reference to a result that is stored at the backend server that produced it.
 struct ResultHandle {
-    std::string value; ///< As the server named it; passed on unread.
+    std::string value; ///< Assigned by the server; passed on without interpretation.
     config::BackendServer maker;
-    ServiceId service = {}; ///< That the maker belongs to.
+    ServiceId service = {}; ///< Service of the producer.
 
     friend bool operator==(const ResultHandle&, const ResultHandle&) = default;
 };
 
-/// @brief One piece of a stage of one request.
+/// @brief Work item of one stage of a request; a batch call processes several.
 struct Piece {
-    std::string request; ///< Name of the request at the backend servers.
+    std::string request; ///< ID of the request at the backend servers.
     StageIndex stage = 0;
     std::uint32_t index = 0; ///< From 0, within the stage.
-    std::string key; ///< What the piece is made of, for stages that need no other.
-    std::vector<std::string> inputs; ///< Handles of the stages that this one needs.
+    std::string key; ///< Input of the piece, for stages that do not depend on another stage.
+    std::vector<std::string> inputs; ///< Handles of the results of the stages that this one depends on.
 
     friend bool operator==(const Piece&, const Piece&) = default;
 };
@@ -47,14 +47,15 @@
     PieceGroupId id;
     std::vector<Piece> pieces;
     std::uint32_t priority = 0; ///< 0 is the most urgent.
-    TimePoint goal; ///< The results are wanted by then.
-    TimePoint deadline; ///< The results are of no use after it.
-    std::optional<AvailabilityZoneId> preferredZone; ///< Where the results will be used.
-    TimePoint leaveZoneAfter; ///< Pieces that would be made later than this there may be made elsewhere.
+    TimePoint goal; ///< Time by which the results are due to meet the latency target.
+    TimePoint deadline; ///< The results are useless after this time.
+    std::optional<AvailabilityZoneId> preferredZone; ///< Zone in which the results will be used.
+    /// Pieces expected to finish later than this in the preferred zone may be processed in another one.
+    TimePoint crossZoneAfter;
     std::uint64_t resultBytes = 0; ///< Approximate size of the result of one piece.
 };
 
-/// @brief Tell the makers of results that they are not needed any more.
+/// @brief Action and message: release results that are no longer needed at their producer.
 struct ReleaseResults {
     ServiceId service;
     config::BackendServer maker;
@@ -63,101 +64,102 @@
     friend bool operator==(const ReleaseResults&, const ReleaseResults&) = default;
 };
 
-/// @brief Why a piece has no result.
+/// @brief Reason why a piece has no result.
 enum class PieceFailure {
-    Late, ///< Its time was over before its turn came.
-    InputGone, ///< A result that it needs is no longer there.
-    NoRoom, ///< The server has no room for the result.
-    Moved, ///< It did not leave the queue of an instance that no longer owns the service.
-    Failed, ///< The server failed at it, or the call broke.
+    Late, ///< Its deadline passed, or was expected to pass, before it was processed.
+    InputGone, ///< A result that it depends on no longer exists.
+    NoRoom, ///< The server has no capacity to store the result.
+    OwnerChanged, ///< It was still queued at an instance that no longer owns the service.
+    Failed, ///< The server reported an error, or the call broke.
 };
 
-/// @brief Name of a failure as it is written in logs.
+/// @brief Returns the name of a failure as it is written in logs.
 std::string_view toString(PieceFailure failure);
 
-/// @brief What came of one piece.
+/// @brief Result of one piece, or the reason why there is none.
 using PieceResult = std::variant<ResultHandle, PieceFailure>;
 
-/// @brief How a batch call ended as a whole.
+/// @brief Outcome of a batch call as a whole.
 enum class BatchEnd {
-    Answered, ///< There is a result for each piece.
-    NotRun, ///< The server did not start it.
-    Unreachable, ///< No connection could be made.
-    Broken, ///< The connection ended early or went silent.
+    Answered, ///< The response has a result or a failure for each piece.
+    NotRun, ///< The server did not start the call.
+    Unreachable, ///< No connection could be established.
+    Broken, ///< The connection ended early or timed out.
 };
 
-/// @brief Name of an end as it is written in logs.
+/// @brief Returns the name of an outcome as it is written in logs.
 std::string_view toString(BatchEnd end);
 
-/// @brief Send one call with these pieces.
+/// @brief Action: send one call with these pieces.
 struct SendBatch {
     CallId call;
     ServiceId service;
     config::BackendServer server;
     std::vector<Piece> pieces;
-    std::vector<Duration> timeLeft; ///< For each piece.
-    TimePoint deadline; ///< The call is given up then.
-    Duration waited {}; ///< Of the piece that waited longest in the queue.
-    std::size_t left = 0; ///< Pieces that still wait for the service.
+    std::vector<Duration> timeLeft; ///< Time until the deadline of each piece.
+    TimePoint deadline; ///< Time at which the call times out.
+    Duration waited {}; ///< Longest time that a piece of the call spent in the queue.
+    std::size_t left = 0; ///< Pieces that remain in the queue of the service.
 };
 
-/// @brief One piece of a group is decided.
+/// @brief Action: deliver the result of one piece of a group.
 struct PieceDone {
     PieceGroupId group;
     std::uint32_t index = 0;
     PieceResult result;
 };
 
-/// @brief What a batch queue wants done.
+/// @brief Action that the caller of a batch queue has to carry out.
 using BatchAction = std::variant<SendBatch, PieceDone>;
 
-/// @brief What a batch queue asks of its owner.
+/// @brief Callbacks of a batch queue.
 struct BatchQueueEvents {
-    std::function<CallId()> newCall; ///< The number of the next call.
-    std::function<bool(std::size_t, TimePoint)> takeRepeat; ///< Whether so many pieces may be asked for once more.
+    std::function<CallId()> newCallId; ///< Returns the ID of the next call.
+    /// Acquires the given number of retries from the retry budget; if they exceed it, acquires none and returns false.
+    std::function<bool(std::size_t, TimePoint)> tryAcquireRetries;
 };
 
-/// @brief The pieces that wait for one service, over all requests, and when they leave in which call.
+/// @brief Queue that groups the pieces of all requests for one service into batch calls.
 ///
-/// A call costs a fixed time besides the time of its pieces, so pieces wait while all servers are busy and leave
-/// together: under load calls fill up, while an idle server takes a piece at once. Pieces that can still meet their
-/// goal leave before those that cannot; within both the more urgent leave first, then those of the earlier goal. Not
-/// thread-safe.
+/// A call has a fixed cost besides the time per piece, so pieces wait while all servers are busy and are sent together:
+/// under load, calls fill up, while an idle server receives a piece immediately. Pieces that can still meet their
+/// latency target are sent before those that cannot. Within both sets, the more urgent pieces are sent first, then
+/// those with the earlier target. Not thread-safe.
 class BatchQueue {
 public:
-    /// @param pool Chooses the server; outlives the queue.
-    BatchQueue(ServiceId service, config::BatchLimits limits, routing::ServerPool& pool, BatchQueueEvents events);
+    /// @param pool Selects servers; must outlive the queue.
+    BatchQueue(ServiceId service, config::BatchLimits limits, routing::ServerPool& pool, BatchQueueEvents callbacks);
     ~BatchQueue();
     BatchQueue(const BatchQueue&) = delete;
     BatchQueue& operator=(const BatchQueue&) = delete;
 
-    /// @brief Takes new limits for calls to come.
+    /// @brief Sets the limits for future calls.
     void setLimits(const config::BatchLimits& limits);
-    /// @brief Sets the part of the servers' slots that this queue may fill.
-    /// @param share 1 where this instance alone sends to the service.
+    /// @brief Sets the share of the servers' slots that this queue may use, from 0 to 1.
+    /// @param share 1 if no other instance sends calls to the service.
     void setShare(double share);
-    /// @brief Adds the pieces of a group.
+    /// @brief Adds the pieces of a group and sends the calls that are ready.
     void add(PieceGroup group, TimePoint now, std::vector<BatchAction>& out);
-    /// @brief Nobody wants the group any more: its waiting pieces are dropped, results to come are still given out.
+    /// @brief Cancels a group: its queued pieces are dropped, results of calls in progress are still delivered.
     void cancel(PieceGroupId group);
-    /// @brief Gives up the pieces that have not left, for another queue; each is reported as `Moved`.
+    /// @brief Removes all queued pieces so that another queue can process them; each is reported as `OwnerChanged`.
     void handOver(std::vector<BatchAction>& out);
-    /// @brief A call ended.
-    /// @param results One for each piece where `end` is `Answered`, else ignored.
-    void ended(CallId call, BatchEnd end, const std::vector<PieceResult>& results, TimePoint now,
+    /// @brief Handles the end of a call.
+    /// @param results One for each piece if `end` is `Answered`, else ignored.
+    void onCallEnd(CallId call, BatchEnd end, const std::vector<PieceResult>& results, TimePoint now,
         std::vector<BatchAction>& out);
-    /// @brief Results are being released; `nextPump` tells when their room can be used.
-    /// @return False where none of them was made by this queue.
-    bool released(const ReleaseResults& release, TimePoint now);
-    /// @brief Sends what can leave now; called when a server has come or time has passed.
-    void pump(TimePoint now, std::vector<BatchAction>& out);
-    /// @brief When `pump` is next needed, if nothing else happens.
+    /// @brief Handles a release of results; `nextDispatch` takes the capacity that it frees into account.
+    /// @return False if none of the results was produced by a call of this queue.
+    bool onRelease(const ReleaseResults& release, TimePoint now);
+    /// @brief Sends the calls that are ready; to be called when a server becomes available and at `nextDispatch`.
+    void dispatch(TimePoint now, std::vector<BatchAction>& out);
+    /// @brief Returns the time of the next `dispatch` call that is needed without other events, or none.
     std::optional<TimePoint> nextPump() const;
 
-    std::size_t waiting() const;
+    std::size_t waitingCount() const;
     std::size_t callsInProgress() const;
-    /// @brief Expected time until `pieces` more pieces of the given priority would be made.
-    /// @param late They cannot meet their goal any more.
+    /// @brief Returns the expected time until `pieces` additional pieces of the given priority would be processed.
+    /// @param late The pieces cannot meet their latency target.
     Duration expectedWait(std::uint32_t priority, bool late, std::size_t pieces, TimePoint now) const;
 
 private:
--- a/include/foxtailwheel/serving/PieceBroker.h
+++ b/include/foxtailwheel/serving/PieceBroker.h
@@ -16,33 +16,34 @@
 
 namespace foxtailwheel::serving {
 
-/// @brief To the owner of a service: have these pieces made.
+/// @brief Request to the owner of a service to process pieces.
 struct PiecesAsked {
-    PieceGroupId group; ///< Numbered by who asks.
+    PieceGroupId group; ///< Assigned by the requester.
     ServiceId service;
     std::vector<Piece> pieces;
     std::uint32_t priority = 0;
-    Duration goalLeft {}; ///< Time within which the pieces are wanted; may be over.
-    Duration timeLeft {}; ///< Time after which they are of no use.
-    AvailabilityZoneId preferredZone; ///< Empty for none.
-    Duration zoneLeft {}; ///< Time after which the pieces may be made outside of that zone.
+    Duration goalLeft {}; ///< Time until the latency target; negative once it has passed.
+    Duration timeLeft {}; ///< Time until the deadline.
+    AvailabilityZoneId preferredZone; ///< Empty if there is no preference.
+    Duration zoneLeft {}; ///< Time after which the pieces may be processed in another zone.
     std::uint64_t resultBytes = 0; ///< Approximate size of one result.
 
     friend bool operator==(const PiecesAsked&, const PiecesAsked&) = default;
 };
 
-/// @brief Priorities that owners tell their waits for; less urgent ones count as the last.
-constexpr std::size_t toldPriorities = 4;
+/// @brief Number of priorities for which owners report wait times; less urgent priorities share the last entry.
+constexpr std::size_t reportedPriorities = 4;
 
-/// @brief Time until more pieces of a service are made, as the owner's queue stands.
+/// @brief Expected time until additional pieces of a service are processed, given the current queue of the owner.
 struct QueueWaits {
-    std::array<Duration, toldPriorities> timely {}; ///< By priority, for pieces that can meet their goal.
-    Duration late {}; ///< For pieces that cannot, which go last.
+    std::array<Duration, reportedPriorities> timely {}; ///< By priority, for pieces that can meet their latency target.
+    Duration late {}; ///< For pieces that cannot, which are scheduled last.
 
     friend bool operator==(const QueueWaits&, const QueueWaits&) = default;
 };
 
-/// @brief From the owner: the pieces are in its queue.
+/// @brief Acknowledgement from the owner: the pieces are in its queue. Sent again periodically as a heartbeat while
+/// pieces of the requester are queued.
 struct PiecesTaken {
     PieceGroupId group;
     QueueWaits waits;
@@ -50,14 +51,14 @@
     friend bool operator==(const PiecesTaken&, const PiecesTaken&) = default;
 };
 
-/// @brief To the owner: the pieces are not wanted any more.
+/// @brief Cancellation sent to the owner: the results are no longer needed.
 struct PiecesCancelled {
     PieceGroupId group;
 
     friend bool operator==(const PiecesCancelled&, const PiecesCancelled&) = default;
 };
 
-/// @brief What came of one piece.
+/// @brief Result of one piece, with the index of the piece.
 struct MadePiece {
     std::uint32_t index = 0;
     PieceResult result;
@@ -65,76 +66,78 @@
     friend bool operator==(const MadePiece&, const MadePiece&) = default;
 };
 
-/// @brief From the owner: these pieces are decided.
+/// @brief Results from the owner for some or all pieces of a group.
 struct PiecesMade {
     PieceGroupId group;
     ServiceId service;
     std::vector<MadePiece> pieces;
-    QueueWaits waits; ///< For more pieces, as the queue stands now.
+    QueueWaits waits; ///< For additional pieces, given the current queue.
 
     friend bool operator==(const PiecesMade&, const PiecesMade&) = default;
 };
 
-/// @brief Anything that instances tell each other about pieces. Results are released through the owner, which so knows
-/// the room that is left at their makers.
+/// @brief Any message about pieces between instances. Results are released through the owner, so that it can track the
+/// free capacity of their producers.
 using PieceMessage = std::variant<PiecesAsked, PiecesTaken, PiecesCancelled, PiecesMade, ReleaseResults>;
 
-/// @brief Send a message to another instance.
+/// @brief Action: send a message to another instance.
 struct TellInstance {
     InstanceId to;
     PieceMessage message;
 };
 
-/// @brief What a broker wants done.
+/// @brief Action that the caller of a broker has to carry out.
 using BrokerAction = std::variant<SendBatch, PieceDone, TellInstance, ReleaseResults>;
 using BrokerActions = std::vector<BrokerAction>;
 
-/// @brief The batch queue of a service; null where the service takes no pieces.
-using FindQueue = std::function<BatchQueue*(const ServiceId&)>;
+/// @brief Returns the batch queue of a service, or null if the service does not process pieces.
+using QueueLookup = std::function<BatchQueue*(const ServiceId&)>;
 
-/// @brief Gathers the pieces of all instances at one owner for each service, so that batches form across instances.
+/// @brief Routes the pieces of all instances to one owner per service, so that batches form across instances.
 ///
-/// The owner is the live instance that weighs most for the service by rendezvous hash. A wrong owner does no harm: its
-/// batches are smaller. Where the owner does not confirm or does not answer in time, its asker makes the pieces itself
-/// and avoids it for a while. Not thread-safe.
+/// The owner is the live instance with the highest rendezvous hash weight for the service. Instances may briefly
+/// disagree about the owner; this only makes batches smaller. If the owner does not acknowledge a request or stops
+/// sending heartbeats, the requester sends the pieces to the next candidate, or processes them itself if that one is
+/// silent too, and avoids the silent instance for a while. Not thread-safe.
 class PieceBroker {
 public:
-    /// @param note May be empty.
-    PieceBroker(InstanceId self, FindQueue findQueue, NoteSink note = {});
+    /// @param log May be empty.
+    PieceBroker(InstanceId self, QueueLookup findQueue, NoteSink log = {});
     ~PieceBroker();
     PieceBroker(const PieceBroker&) = delete;
     PieceBroker& operator=(const PieceBroker&) = delete;
 
-    /// @brief Takes the instances that may own services and those that are gone.
-    /// @param live This one included; empty means this one alone.
+    /// @brief Updates the instances that may own services and those that were removed.
+    /// @param live Includes this instance; empty means that this instance is the only one.
     void setMembers(
-        const std::vector<InstanceId>& live, const std::set<InstanceId>& gone, TimePoint now, BrokerActions& out);
-    /// @brief The instance that owns a service now.
+        const std::vector<InstanceId>& live, const std::set<InstanceId>& removed, TimePoint now, BrokerActions& out);
+    /// @brief Returns the current owner of a service.
     InstanceId ownerOf(const ServiceId& service, TimePoint now) const;
-    /// @brief True where this instance gathers the pieces of a service: it owns it, or others take it for the owner.
+    /// @brief Returns true if this instance owns the service or recently received requests for it from other instances.
     bool gathers(const ServiceId& service, TimePoint now) const;
-    /// @brief Has the pieces of a group made, here or at the owner.
+    /// @brief Submits the pieces of a group to the local queue or to the owner of the service.
     void ask(const ServiceId& service, PieceGroup group, TimePoint now, BrokerActions& out);
-    /// @brief The group is not wanted any more.
+    /// @brief Cancels a group.
     void cancel(PieceGroupId group, BrokerActions& out);
-    /// @brief Results are not needed any more.
+    /// @brief Releases results at their producer.
     void release(ReleaseResults release, TimePoint now, BrokerActions& out);
-    /// @brief Another instance has said something.
+    /// @brief Handles a message from another instance.
     void onMessage(const InstanceId& from, const PieceMessage& message, TimePoint now, BrokerActions& out);
-    /// @brief What was asked of an instance may be lost: it is asked for again, there or at another.
+    /// @brief Handles the loss of the connection to an instance: requests sent to it may be lost and are submitted
+    /// again to the current owner.
     void onLost(const InstanceId& instance, TimePoint now, BrokerActions& out);
-    /// @brief A batch call of a service ended.
+    /// @brief Handles the end of a batch call.
     void onBatchEnd(const ServiceId& service, CallId call, BatchEnd end, const std::vector<PieceResult>& results,
         TimePoint now, BrokerActions& out);
-    /// @brief Sends what can leave the queue of a service.
+    /// @brief Sends the batches of a service that are ready.
     void pump(const ServiceId& service, TimePoint now, BrokerActions& out);
-    /// @brief Does what is due.
+    /// @brief Handles expired timeouts and sends heartbeats that are due.
     void onTime(TimePoint now, BrokerActions& out);
-    /// @brief When `onTime` is next needed.
+    /// @brief Returns the time of the next `onTimer` call that is needed.
     TimePoint nextTime() const;
-    /// @brief Expected time until more pieces of a service would be made: from this instance's own queue where it owns
-    /// the service, else as the owner said lately; 0 where nothing is known.
-    /// @param late They cannot meet their goal any more.
+    /// @brief Returns the expected time until additional pieces of a service would be processed: from the local queue
+    /// if this instance owns the service, else from the most recent report of the owner; 0 if unknown.
+    /// @param late The pieces cannot meet their latency target.
     Duration expectedWait(
         const ServiceId& service, std::uint32_t priority, bool late, std::size_t pieces, TimePoint now) const;
 
--- a/src/foxtailwheel/serving/BatchForecast.cpp
+++ b/src/foxtailwheel/serving/BatchForecast.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-    /// Share of a new call in the smoothed slowness: about the last ten calls count.
-    constexpr double smoothing = 0.1;
-    /// Part of the servers that is left to a piece at the least, however much of more urgent work comes in.
-    constexpr double leastShare = 0.03;
+    /// Weight of a new call in the exponentially smoothed call time ratio; roughly averages the last ten calls.
+    constexpr double smoothingFactor = 0.1;
+    /// Minimum share of the throughput that is assumed for a piece, whatever the arrival rate of more urgent pieces.
+    constexpr double minThroughputShare = 0.03;
 
 } // namespace
 
@@ -18,43 +18,44 @@
 {
 }
 
-void BatchForecast::arrived(std::uint32_t priority, std::size_t pieces, TimePoint now)
+void BatchForecast::recordArrival(std::uint32_t priority, std::size_t pieces, TimePoint now)
 {
     m_arrivals[priority].add(static_cast<double>(pieces), now);
 }
 
-void BatchForecast::answered(std::size_t pieces, Duration time)
+void BatchForecast::recordCall(std::size_t pieces, Duration time)
 {
     const auto declared = m_limits.callTime + m_limits.pieceTime * pieces;
     if (declared <= Duration {})
         return;
     const double ratio = std::clamp(toSeconds(time) / toSeconds(declared), 0.3, 5.0);
-    m_slowness += smoothing * (ratio - m_slowness);
+    m_callTimeRatio += smoothingFactor * (ratio - m_callTimeRatio);
 }
 
 Duration BatchForecast::callTime(std::size_t pieces) const
 {
-    return fromSeconds(m_slowness * toSeconds(m_limits.callTime + m_limits.pieceTime * pieces));
+    return fromSeconds(m_callTimeRatio * toSeconds(m_limits.callTime + m_limits.pieceTime * pieces));
 }
 
-double BatchForecast::capacity(double servers) const
+double BatchForecast::throughput(double servers) const
 {
-    const auto full = toSeconds(callTime(m_limits.pieces));
-    return full <= 0 ? 1e9 : servers * m_limits.pieces / full;
+    const auto fullCallSeconds = toSeconds(callTime(m_limits.pieces));
+    return fullCallSeconds <= 0 ? 1e9 : servers * m_limits.pieces / fullCallSeconds;
 }
 
-Duration BatchForecast::wait(std::uint32_t priority, bool late, std::size_t ahead, double servers, TimePoint now) const
+Duration BatchForecast::expectedWait(
+    std::uint32_t priority, bool late, std::size_t ahead, double servers, TimePoint now) const
 {
-    double urgent = 0;
+    double urgentRate = 0;
     for (const auto& it : m_arrivals) {
         if (late || it.first < priority)
-            urgent += it.second.perSecond(now);
+            urgentRate += it.second.perSecond(now);
     }
-    const double whole = capacity(servers);
-    const double left = std::max(whole - urgent, whole * leastShare);
+    const double total = throughput(servers);
+    const double available = std::max(total - urgentRate, total * minThroughputShare);
     const auto inCall = std::min<std::size_t>(ahead, m_limits.pieces);
     const double queued = static_cast<double>(ahead - inCall);
-    return fromSeconds(queued / std::max(left, 1e-3)) + callTime(inCall);
+    return fromSeconds(queued / std::max(available, 1e-3)) + callTime(inCall);
 }
 
 } // namespace foxtailwheel::serving
--- a/src/foxtailwheel/serving/BatchNames.cpp
+++ b/src/foxtailwheel/serving/BatchNames.cpp
@@ -11,7 +11,7 @@
         return "input_gone";
     case PieceFailure::NoRoom:
         return "no_room";
-    case PieceFailure::Moved:
+    case PieceFailure::OwnerChanged:
         return "moved";
     case PieceFailure::Failed:
         break;
--- a/src/foxtailwheel/serving/BatchQueue.cpp
+++ b/src/foxtailwheel/serving/BatchQueue.cpp
@@ -12,23 +12,24 @@
 
     using namespace std::chrono_literals;
 
-    /// A call is given up after this multiple of its expected time: a server that is slow answers within it.
-    constexpr double patience = 6;
-    /// Least time that a call is waited for, whatever its size.
-    constexpr Duration leastPatience = 1500ms;
-    /// Pieces of a call that takes this multiple of its expected time are asked for at a second server.
-    constexpr double doublingShare = 2.2;
-    /// Times that a piece is put back after a server said that it did not start it or has no room.
-    constexpr std::uint32_t mostReturns = 6;
-    /// Period in which waiting pieces are checked against their deadlines, and calls against their expected time.
+    /// Timeout of a call as a multiple of its expected duration; slow servers still answer within it.
+    constexpr double callTimeoutFactor = 6;
+    /// Minimum timeout of a call, whatever its size.
+    constexpr Duration minCallTimeout = 1500ms;
+    /// Pieces of a call that takes longer than this multiple of its expected duration are sent to a second server.
+    constexpr double hedgeFactor = 2.2;
+    /// Number of times that a piece is queued again after a server did not start its call or had no capacity for its
+    /// result.
+    constexpr std::uint32_t maxRequeues = 6;
+    /// Interval at which queued pieces are checked against their deadlines, and calls against their expected duration.
     constexpr Duration checkPeriod = 100ms;
 
 } // namespace
 
-/// Calls that this queue may have in progress at once.
-std::size_t BatchQueue::Impl::mostCalls(TimePoint now) const
+/// Returns the maximum number of concurrent calls of this queue.
+std::size_t BatchQueue::Impl::maxCalls(TimePoint now) const
 {
-    return static_cast<std::size_t>(std::max(1.0, std::ceil(share * pool.slots(now))));
+    return static_cast<std::size_t>(std::max(1.0, std::ceil(slotShare * pool.slots(now))));
 }
 
 void BatchQueue::Impl::send(
@@ -36,57 +37,59 @@
 {
     BatchCall call { server, std::move(pieces), calls.freeAt(server.id, now), {} };
     call.expected = forecast.callTime(call.pieces.size());
-    SendBatch send { events.newCall(), service, server, {}, {}, {}, {}, waiting.size() };
+    SendBatch send { callbacks.newCallId(), service, server, {}, {}, {}, {}, waiting.size() };
     auto latest = now;
     for (const auto& it : call.pieces) {
         send.pieces.push_back(it.piece);
         send.timeLeft.push_back(it.deadline - now);
-        send.waited = std::max(send.waited, now - it.since);
+        send.waited = std::max(send.waited, now - it.queuedAt);
         latest = std::max(latest, it.deadline);
         call.resultBytes += it.resultBytes;
     }
-    send.deadline
-        = std::min(latest, call.begunAt + std::max(leastPatience, fromSeconds(toSeconds(call.expected) * patience)));
-    room.reserve(server.id, call.resultBytes);
+    send.deadline = std::min(
+        latest, call.begunAt + std::max(minCallTimeout, fromSeconds(toSeconds(call.expected) * callTimeoutFactor)));
+    capacity.reserve(server.id, call.resultBytes);
     calls.add(send.call, std::move(call));
     out.emplace_back(std::move(send));
 }
 
-/// Gives out a piece's result once, however many calls it is in.
-void BatchQueue::Impl::decide(const WaitingPiece& piece, const PieceResult& result, std::vector<BatchAction>& out)
+/// Delivers the result of a piece once, however many calls contain it. Results of further calls are reported without a
+/// group, so that they are released.
+void BatchQueue::Impl::deliver(const WaitingPiece& piece, const PieceResult& result, std::vector<BatchAction>& out)
 {
     const auto id = piece.id();
-    if (twice.erase(id) > 0) {
+    if (hedged.erase(id) > 0) {
         const auto copy
             = std::find_if(waiting.begin(), waiting.end(), [&id](const WaitingPiece& it) { return it.id() == id; });
         if (copy != waiting.end()) {
-            // The other one has not left: a failure leaves it in the queue, a result makes it needless.
+            // The copy is still queued: after a failure it stays there, after a success it is not needed.
             if (std::holds_alternative<PieceFailure>(result))
                 return;
             waiting.erase(copy);
         } else if (std::holds_alternative<PieceFailure>(result)) {
             return;
         } else {
-            settled.insert(id);
+            delivered.insert(id);
         }
         out.emplace_back(PieceDone { piece.group, piece.piece.index, result });
         return;
     }
-    const bool late = settled.erase(id) > 0;
-    out.emplace_back(PieceDone { late ? PieceGroupId() : piece.group, piece.piece.index, result });
+    const bool duplicate = delivered.erase(id) > 0;
+    out.emplace_back(PieceDone { duplicate ? PieceGroupId() : piece.group, piece.piece.index, result });
 }
 
-void BatchQueue::Impl::check(TimePoint now, std::vector<BatchAction>& out)
+void BatchQueue::Impl::runPeriodicChecks(TimePoint now, std::vector<BatchAction>& out)
 {
-    if (now - checkedAt < checkPeriod)
+    if (now - lastCheckAt < checkPeriod)
         return;
-    checkedAt = now;
-    dropHopeless(now, out);
-    doubleSlowCalls(now);
+    lastCheckAt = now;
+    dropUnmeetable(now, out);
+    hedgeSlowCalls(now);
 }
 
-/// Drops the pieces that will not be made before their deadline, as things stand: their callers learn it at once.
-void BatchQueue::Impl::dropHopeless(TimePoint now, std::vector<BatchAction>& out)
+/// Drops the pieces that are not expected to finish before their deadline, so that their requesters learn it
+/// immediately.
+void BatchQueue::Impl::dropUnmeetable(TimePoint now, std::vector<BatchAction>& out)
 {
     std::size_t ahead = 0;
     for (const bool late : { false, true }) {
@@ -94,8 +97,8 @@
             const auto piece = it++;
             if (isLate(*piece, now) != late)
                 continue;
-            const auto made = now + forecast.wait(piece->priority, late, ++ahead, servers(now), now);
-            if (made <= piece->deadline || twice.contains(piece->id()))
+            const auto expectedAt = now + forecast.expectedWait(piece->priority, late, ++ahead, servers(now), now);
+            if (expectedAt <= piece->deadline || hedged.contains(piece->id()))
                 continue;
             --ahead;
             out.emplace_back(PieceDone { piece->group, piece->piece.index, PieceFailure::Late });
@@ -104,33 +107,35 @@
     }
 }
 
-/// A piece may be made twice, so a call that takes far longer than expected is not waited for alone.
-void BatchQueue::Impl::doubleSlowCalls(TimePoint now)
+/// Queues the pieces of calls that take far longer than expected a second time, within the retry budget. Processing a
+/// piece twice is safe.
+void BatchQueue::Impl::hedgeSlowCalls(TimePoint now)
 {
     for (auto& [id, call] : calls.all()) {
-        if (call.doubled || now - call.begunAt < fromSeconds(toSeconds(call.expected) * doublingShare))
+        if (call.doubled || now - call.begunAt < fromSeconds(toSeconds(call.expected) * hedgeFactor))
             continue;
-        if (!events.takeRepeat(call.pieces.size(), now))
+        if (!callbacks.tryAcquireRetries(call.pieces.size(), now))
             continue;
         call.doubled = true;
         for (const auto& it : call.pieces) {
-            if (it.deadline > now && !settled.contains(it.id()) && twice.insert(it.id()).second)
+            if (it.deadline > now && !delivered.contains(it.id()) && hedged.insert(it.id()).second)
                 waiting.insert(it);
         }
     }
 }
 
-void BatchQueue::Impl::putBack(WaitingPiece piece, PieceFailure failure, TimePoint now, std::vector<BatchAction>& out)
+void BatchQueue::Impl::requeue(WaitingPiece piece, PieceFailure failure, TimePoint now, std::vector<BatchAction>& out)
 {
-    if (piece.deadline <= now || ++piece.returns > mostReturns || twice.contains(piece.id())) {
-        decide(piece, failure, out);
+    if (piece.deadline <= now || ++piece.requeues > maxRequeues || hedged.contains(piece.id())) {
+        deliver(piece, failure, out);
         return;
     }
     waiting.insert(std::move(piece));
 }
 
-/// The pool learns the time of a call with one piece, so calls of unlike size are brought to that size.
-routing::CallReport BatchQueue::Impl::reportOf(const BatchCall& call, BatchEnd end, TimePoint now) const
+/// Scales the duration of the call to that of a call with one piece, so that the pool can compare calls of different
+/// sizes.
+routing::CallReport BatchQueue::Impl::callReport(const BatchCall& call, BatchEnd end, TimePoint now) const
 {
     routing::CallReport report;
     switch (end) {
@@ -147,34 +152,35 @@
         report.sign = routing::CallSign::Broken;
         break;
     }
-    const auto one = limits.callTime + limits.pieceTime;
-    const auto declared = limits.callTime + limits.pieceTime * call.pieces.size();
-    report.time = fromSeconds(toSeconds(now - call.begunAt) * toSeconds(one) / std::max(1e-3, toSeconds(declared)));
+    const auto onePieceTime = limits.callTime + limits.pieceTime;
+    const auto declaredTime = limits.callTime + limits.pieceTime * call.pieces.size();
+    report.time = fromSeconds(
+        toSeconds(now - call.begunAt) * toSeconds(onePieceTime) / std::max(1e-3, toSeconds(declaredTime)));
     return report;
 }
 
-/// Enters the results of a call, and then what its server refused for lack of room.
-void BatchQueue::Impl::noteRoom(
+/// Replaces the reservation of a call by its results, and then applies rejections for lack of capacity.
+void BatchQueue::Impl::updateCapacity(
     const BatchCall& call, BatchEnd end, const std::vector<PieceResult>& results, TimePoint now)
 {
-    room.unreserve(call.server.id, call.resultBytes);
+    capacity.cancelReservation(call.server.id, call.resultBytes);
     if (end != BatchEnd::Answered)
         return;
-    std::uint64_t refused = 0;
+    std::uint64_t rejectedBytes = 0;
     for (std::size_t i = 0; i < results.size(); ++i) {
         const auto bytes = call.pieces[i].resultBytes;
         if (const auto* handle = std::get_if<ResultHandle>(&results[i]))
-            room.made(call.server.id, handle->value, bytes, now);
+            capacity.addResult(call.server.id, handle->value, bytes, now);
         else if (std::get<PieceFailure>(results[i]) == PieceFailure::NoRoom)
-            refused = refused == 0 ? bytes : std::min(refused, bytes);
+            rejectedBytes = rejectedBytes == 0 ? bytes : std::min(rejectedBytes, bytes);
     }
-    if (refused > 0)
-        room.refused(call.server.id, refused, now);
+    if (rejectedBytes > 0)
+        capacity.onRejected(call.server.id, rejectedBytes, now);
 }
 
 BatchQueue::BatchQueue(
-    ServiceId service, config::BatchLimits limits, routing::ServerPool& pool, BatchQueueEvents events)
-    : m_impl(std::make_unique<Impl>(std::move(service), limits, pool, std::move(events)))
+    ServiceId service, config::BatchLimits limits, routing::ServerPool& pool, BatchQueueEvents callbacks)
+    : m_impl(std::make_unique<Impl>(std::move(service), limits, pool, std::move(callbacks)))
 {
 }
 
@@ -184,22 +190,22 @@
 {
     m_impl->limits = limits;
     m_impl->forecast.setLimits(limits);
-    m_impl->room.setLimits(limits.resultRoomBytes, limits.resultLife);
+    m_impl->capacity.setLimits(limits.resultRoomBytes, limits.resultLife);
 }
 
 void BatchQueue::setShare(double share)
 {
-    m_impl->share = share;
+    m_impl->slotShare = share;
 }
 
 void BatchQueue::add(PieceGroup group, TimePoint now, std::vector<BatchAction>& out)
 {
     if (group.goal >= now + m_impl->forecast.callTime(1))
-        m_impl->forecast.arrived(group.priority, group.pieces.size(), now);
+        m_impl->forecast.recordArrival(group.priority, group.pieces.size(), now);
     for (auto& it : group.pieces)
         m_impl->waiting.insert({ group.id, std::move(it), group.priority, group.goal, group.deadline,
-            group.preferredZone, group.leaveZoneAfter, group.resultBytes, ++m_impl->arrivals, now, 0 });
-    pump(now, out);
+            group.preferredZone, group.crossZoneAfter, group.resultBytes, ++m_impl->lastArrivalNumber, now, 0 });
+    dispatch(now, out);
 }
 
 void BatchQueue::cancel(PieceGroupId group)
@@ -209,77 +215,77 @@
 
 void BatchQueue::handOver(std::vector<BatchAction>& out)
 {
-    // A piece that is in a call as well stays: its call decides it.
+    // A piece that is also in a call stays: that call provides its result.
     for (auto it = m_impl->waiting.begin(); it != m_impl->waiting.end();) {
-        if (m_impl->twice.erase(it->id()) == 0)
-            out.emplace_back(PieceDone { it->group, it->piece.index, PieceFailure::Moved });
+        if (m_impl->hedged.erase(it->id()) == 0)
+            out.emplace_back(PieceDone { it->group, it->piece.index, PieceFailure::OwnerChanged });
         it = m_impl->waiting.erase(it);
     }
 }
 
-void BatchQueue::ended(
+void BatchQueue::onCallEnd(
     CallId id, BatchEnd end, const std::vector<PieceResult>& results, TimePoint now, std::vector<BatchAction>& out)
 {
-    auto taken = m_impl->calls.take(id, now);
-    if (!taken)
+    auto endedCall = m_impl->calls.take(id, now);
+    if (!endedCall)
         return;
-    auto& call = *taken;
+    auto& call = *endedCall;
     if (end == BatchEnd::Answered && results.size() != call.pieces.size())
         end = BatchEnd::Broken;
-    m_impl->pool.ended(call.server.id, m_impl->reportOf(call, end, now), now);
+    m_impl->pool.ended(call.server.id, m_impl->callReport(call, end, now), now);
     if (end == BatchEnd::Answered)
-        m_impl->forecast.answered(call.pieces.size(), now - call.begunAt);
+        m_impl->forecast.recordCall(call.pieces.size(), now - call.begunAt);
     else if (end == BatchEnd::NotRun)
         m_impl->calls.pause(call.server.id, now);
-    m_impl->noteRoom(call, end, results, now);
+    m_impl->updateCapacity(call, end, results, now);
     for (std::size_t i = 0; i < call.pieces.size(); ++i) {
         auto& piece = call.pieces[i];
         auto result = end == BatchEnd::Answered ? results[i] : PieceResult(PieceFailure::Failed);
         if (auto* handle = std::get_if<ResultHandle>(&result))
             handle->service = m_impl->service;
         const auto* failure = std::get_if<PieceFailure>(&result);
-        const bool notMade = end == BatchEnd::NotRun || end == BatchEnd::Unreachable
+        const bool retryable = end == BatchEnd::NotRun || end == BatchEnd::Unreachable
             || (failure != nullptr && *failure == PieceFailure::NoRoom);
-        if (notMade)
-            m_impl->putBack(std::move(piece), *failure, now, out);
+        if (retryable)
+            m_impl->requeue(std::move(piece), *failure, now, out);
         else
-            m_impl->decide(piece, result, out);
+            m_impl->deliver(piece, result, out);
     }
-    pump(now, out);
+    dispatch(now, out);
 }
 
-bool BatchQueue::released(const ReleaseResults& release, TimePoint now)
+bool BatchQueue::onRelease(const ReleaseResults& release, TimePoint now)
 {
     bool known = false;
     for (const auto& it : release.handles)
-        known = m_impl->room.released(release.maker.id, it, now) || known;
+        known = m_impl->capacity.release(release.maker.id, it, now) || known;
     if (known && !m_impl->waiting.empty())
-        m_impl->roomFreeAt = m_impl->room.nextFree(now);
+        m_impl->capacityFreeAt = m_impl->capacity.nextFreeAt(now);
     return known;
 }
 
-void BatchQueue::pump(TimePoint now, std::vector<BatchAction>& out)
+void BatchQueue::dispatch(TimePoint now, std::vector<BatchAction>& out)
 {
-    m_impl->pumpedAt = now;
-    m_impl->check(now, out);
-    while (m_impl->sendOne(now, out)) { }
-    m_impl->roomFreeAt = m_impl->waiting.empty() ? std::nullopt : m_impl->room.nextFree(now);
+    m_impl->lastDispatchAt = now;
+    m_impl->runPeriodicChecks(now, out);
+    while (m_impl->sendNextCall(now, out)) { }
+    m_impl->capacityFreeAt = m_impl->waiting.empty() ? std::nullopt : m_impl->capacity.nextFreeAt(now);
 }
 
 std::optional<TimePoint> BatchQueue::nextPump() const
 {
     if (m_impl->waiting.empty() && m_impl->calls.empty())
         return std::nullopt;
-    auto next = m_impl->checkedAt + checkPeriod;
+    auto next = m_impl->lastCheckAt + checkPeriod;
     if (m_impl->waiting.empty())
         return next;
-    next = std::min(next, m_impl->calls.nextChange(m_impl->pumpedAt));
-    if (m_impl->roomFreeAt)
-        next = std::min(next, *m_impl->roomFreeAt);
+    next = std::min(next, m_impl->calls.nextChange(m_impl->lastDispatchAt));
+    if (m_impl->capacityFreeAt)
+        next = std::min(next, *m_impl->capacityFreeAt);
     return next;
 }
 
-std::size_t BatchQueue::waiting() const
+std::size_t BatchQueue::waitingCount() const
 {
     return m_impl->waiting.size();
 }
@@ -295,11 +301,12 @@
         [&](const WaitingPiece& it) { return late || (it.priority <= priority && !m_impl->isLate(it, now)); });
     const auto servers = m_impl->servers(now);
     const bool busy = static_cast<double>(m_impl->calls.staying(now)) >= servers;
-    // While all servers are busy, the next one comes free after part of a call.
+    // While all servers are busy, the expected time until the next one is free is a fraction of the call time.
     const Duration untilFree = busy ? fromSeconds(toSeconds(m_impl->forecast.callTime(m_impl->limits.pieces))
                                    / static_cast<double>(1 + m_impl->calls.size()))
                                     : Duration {};
-    return untilFree + m_impl->forecast.wait(priority, late, pieces + static_cast<std::size_t>(ahead), servers, now);
+    return untilFree
+        + m_impl->forecast.expectedWait(priority, late, pieces + static_cast<std::size_t>(ahead), servers, now);
 }
 
 } // namespace foxtailwheel::serving
--- a/src/foxtailwheel/serving/BatchQueueTest.cpp
+++ b/src/foxtailwheel/serving/BatchQueueTest.cpp
@@ -1,7 +1,7 @@
 #include "foxtailwheel/serving/BatchQueue.h"
 
 #include "foxtailwheel/serving/BatchForecast.h"
-#include "foxtailwheel/serving/ResultRoom.h"
+#include "foxtailwheel/serving/ResultCapacity.h"
 
 #include <criterion/criterion.h>
 
@@ -18,9 +18,9 @@
     return { 1, 2, 10, 200ms, 17ms, 4s, 22'000'000 };
 }
 
-/// A queue before servers of one slot, whose calls the test ends by hand.
-struct World {
-    explicit World(const std::vector<std::string>& zones, config::BatchLimits limits = tenPieces())
+/// A queue in front of servers with one slot each. The test ends the calls.
+struct QueueFixture {
+    explicit QueueFixture(const std::vector<std::string>& zones, config::BatchLimits limits = tenPieces())
     {
         config::Service service;
         service.id = ServiceId("portal");
@@ -34,36 +34,36 @@
         pool = routing::ServerPool::create(service, {}, options);
         queue = std::make_unique<BatchQueue>(service.id, limits, *pool,
             BatchQueueEvents { [this] { return CallId(++lastCall); },
-                [this](std::size_t n, TimePoint) { return n <= repeats && (repeats -= n, true); } });
+                [this](std::size_t n, TimePoint) { return n <= retryBudget && (retryBudget -= n, true); } });
     }
 
-    /// Adds pieces and returns what follows.
-    void add(std::uint64_t group, std::size_t pieces, TimePoint now, std::uint32_t priority = 0, Duration goal = 2s,
+    /// Adds a group of pieces and collects the resulting actions.
+    void add(std::uint64_t group, std::size_t pieces, TimePoint now, std::uint32_t priority = 0, Duration target = 2s,
         Duration deadline = 8s, const std::string& zone = {}, std::uint64_t bytes = 1000)
     {
-        PieceGroup out { PieceGroupId(group), {}, priority, now + goal, now + deadline, {}, now + goal, bytes };
+        PieceGroup request { PieceGroupId(group), {}, priority, now + target, now + deadline, {}, now + target, bytes };
         if (!zone.empty())
-            out.preferredZone = AvailabilityZoneId(zone);
+            request.preferredZone = AvailabilityZoneId(zone);
         for (std::uint32_t i = 0; i < pieces; ++i)
-            out.pieces.push_back({ "r" + std::to_string(group), 0, i, "k", {} });
-        take([&](auto& actions) { queue->add(std::move(out), now, actions); });
+            request.pieces.push_back({ "r" + std::to_string(group), 0, i, "k", {} });
+        collect([&](auto& actions) { queue->add(std::move(request), now, actions); });
     }
 
     /// Ends a call with a result for each piece.
-    void end(const SendBatch& call, TimePoint now, BatchEnd end = BatchEnd::Answered)
+    void finishCall(const SendBatch& call, TimePoint now, BatchEnd end = BatchEnd::Answered)
     {
         std::vector<PieceResult> results;
         for (const auto& it : call.pieces)
             results.emplace_back(ResultHandle { it.request + "/" + std::to_string(it.index), call.server });
-        take([&](auto& actions) { queue->ended(call.call, end, results, now, actions); });
+        collect([&](auto& actions) { queue->onCallEnd(call.call, end, results, now, actions); });
     }
 
-    void pump(TimePoint now)
+    void dispatch(TimePoint now)
     {
-        take([&](auto& actions) { queue->pump(now, actions); });
+        collect([&](auto& actions) { queue->dispatch(now, actions); });
     }
 
-    template <class Work> void take(Work work)
+    template <class Work> void collect(Work work)
     {
         std::vector<BatchAction> actions;
         work(actions);
@@ -78,43 +78,43 @@
     std::unique_ptr<routing::ServerPool> pool;
     std::unique_ptr<BatchQueue> queue;
     std::uint64_t lastCall = 0;
-    std::size_t repeats = 100;
+    std::size_t retryBudget = 100;
     std::vector<SendBatch> sent;
     std::vector<PieceDone> done;
 };
 
 } // namespace
 
-Test(BatchQueue, anIdleServerTakesAPieceAtOnce)
+Test(BatchQueue, idleServerReceivesAPieceImmediately)
 {
-    World world({ "a" });
-    world.add(1, 1, start);
-    cr_assert_eq(world.sent.size(), 1);
-    cr_assert_eq(world.sent[0].pieces.size(), 1);
+    QueueFixture fixture({ "a" });
+    fixture.add(1, 1, start);
+    cr_assert_eq(fixture.sent.size(), 1);
+    cr_assert_eq(fixture.sent[0].pieces.size(), 1);
 }
 
 Test(BatchQueue, piecesOfManyRequestsFillTheNextCallWhileAllServersAreBusy)
 {
-    World world({ "a" });
-    world.add(1, 1, start);
+    QueueFixture fixture({ "a" });
+    fixture.add(1, 1, start);
     for (std::uint64_t i = 2; i < 16; ++i)
-        world.add(i, 1, start + 10ms);
-    cr_assert_eq(world.sent.size(), 1);
-    world.end(world.sent[0], start + 217ms);
-    cr_assert_eq(world.sent.size(), 2);
-    cr_assert_eq(world.sent[1].pieces.size(), 10);
-    cr_assert_eq(world.queue->waiting(), 4);
+        fixture.add(i, 1, start + 10ms);
+    cr_assert_eq(fixture.sent.size(), 1);
+    fixture.finishCall(fixture.sent[0], start + 217ms);
+    cr_assert_eq(fixture.sent.size(), 2);
+    cr_assert_eq(fixture.sent[1].pieces.size(), 10);
+    cr_assert_eq(fixture.queue->waitingCount(), 4);
 }
 
-Test(BatchQueue, timelyPiecesLeaveBeforeLateOnesAndUrgentBeforeOthers)
+Test(BatchQueue, piecesThatCanMeetTheirTargetAreSentFirstThenByPriority)
 {
-    World world({ "a" });
-    world.add(1, 1, start);
-    world.add(2, 6, start, 0, 50ms); // Its goal cannot be met.
-    world.add(3, 6, start, 2);
-    world.add(4, 3, start, 1);
-    world.end(world.sent[0], start + 217ms);
-    const auto& pieces = world.sent[1].pieces;
+    QueueFixture fixture({ "a" });
+    fixture.add(1, 1, start);
+    fixture.add(2, 6, start, 0, 50ms); // Cannot meet its latency target.
+    fixture.add(3, 6, start, 2);
+    fixture.add(4, 3, start, 1);
+    fixture.finishCall(fixture.sent[0], start + 217ms);
+    const auto& pieces = fixture.sent[1].pieces;
     cr_assert_eq(pieces.size(), 10);
     for (std::size_t i = 0; i < 3; ++i)
         cr_assert_eq(pieces[i].request, "r4");
@@ -123,304 +123,304 @@
     cr_assert_eq(pieces[9].request, "r2");
 }
 
-Test(BatchQueue, piecesStayInTheirZoneWhileTheGoalAllows)
+Test(BatchQueue, piecesStayInTheirZoneWhileTheTargetAllows)
 {
-    World world({ "a", "b" });
-    world.add(1, 1, start, 0, 2s, 8s, "a");
-    world.add(2, 1, start, 0, 2s, 8s, "a");
-    cr_assert_eq(world.sent.size(), 1);
-    cr_assert_eq(world.sent[0].server.zone.value(), "a");
-    world.add(3, 1, start, 0, 400ms, 8s, "a");
-    cr_assert_eq(world.sent.size(), 2);
-    cr_assert_eq(world.sent[1].server.zone.value(), "b");
-    cr_assert_eq(world.sent[1].pieces.front().request, "r3");
+    QueueFixture fixture({ "a", "b" });
+    fixture.add(1, 1, start, 0, 2s, 8s, "a");
+    fixture.add(2, 1, start, 0, 2s, 8s, "a");
+    cr_assert_eq(fixture.sent.size(), 1);
+    cr_assert_eq(fixture.sent[0].server.zone.value(), "a");
+    fixture.add(3, 1, start, 0, 400ms, 8s, "a");
+    cr_assert_eq(fixture.sent.size(), 2);
+    cr_assert_eq(fixture.sent[1].server.zone.value(), "b");
+    cr_assert_eq(fixture.sent[1].pieces.front().request, "r3");
 }
 
-Test(BatchQueue, whatTheNextCallsOfAZoneCannotTakeFillsCallsElsewhere)
+Test(BatchQueue, piecesBeyondTheNextCallsOfAZoneCrossZones)
 {
-    World world({ "a", "b" });
-    world.add(1, 5, start, 0, 2s, 8s, "a");
-    world.add(2, 1, start, 0, 2s, 8s, "b");
-    world.add(3, 14, start, 0, 2s, 8s, "a");
-    world.end(world.sent[1], start + 217ms);
-    cr_assert_eq(world.sent.size(), 3);
-    cr_assert_eq(world.sent[2].server.zone.value(), "b");
-    cr_assert_eq(world.sent[2].pieces.size(), 4, "the next call in the own zone takes ten");
-    world.end(world.sent[0], start + 285ms);
-    cr_assert_eq(world.sent.size(), 4);
-    cr_assert_eq(world.sent[3].server.zone.value(), "a");
-    cr_assert_eq(world.sent[3].pieces.size(), 10);
+    QueueFixture fixture({ "a", "b" });
+    fixture.add(1, 5, start, 0, 2s, 8s, "a");
+    fixture.add(2, 1, start, 0, 2s, 8s, "b");
+    fixture.add(3, 14, start, 0, 2s, 8s, "a");
+    fixture.finishCall(fixture.sent[1], start + 217ms);
+    cr_assert_eq(fixture.sent.size(), 3);
+    cr_assert_eq(fixture.sent[2].server.zone.value(), "b");
+    cr_assert_eq(fixture.sent[2].pieces.size(), 4, "the next call in the preferred zone has space for ten");
+    fixture.finishCall(fixture.sent[0], start + 285ms);
+    cr_assert_eq(fixture.sent.size(), 4);
+    cr_assert_eq(fixture.sent[3].server.zone.value(), "a");
+    cr_assert_eq(fixture.sent[3].pieces.size(), 10);
 }
 
-Test(BatchQueue, piecesOfABusyZoneStayThereWhileItsNextCallTakesThem)
+Test(BatchQueue, piecesOfABusyZoneStayWhileItsNextCallHasSpace)
 {
-    World world({ "a", "b" });
-    world.add(1, 1, start, 0, 2s, 8s, "a");
-    world.add(2, 9, start + 10ms, 0, 2s, 8s, "a");
-    cr_assert_eq(world.sent.size(), 1, "nothing crosses zones");
-    world.end(world.sent[0], start + 217ms);
-    cr_assert_eq(world.sent.size(), 2);
-    cr_assert_eq(world.sent[1].pieces.size(), 9);
+    QueueFixture fixture({ "a", "b" });
+    fixture.add(1, 1, start, 0, 2s, 8s, "a");
+    fixture.add(2, 9, start + 10ms, 0, 2s, 8s, "a");
+    cr_assert_eq(fixture.sent.size(), 1, "no piece crosses zones");
+    fixture.finishCall(fixture.sent[0], start + 217ms);
+    cr_assert_eq(fixture.sent.size(), 2);
+    cr_assert_eq(fixture.sent[1].pieces.size(), 9);
 }
 
-Test(BatchQueue, theRestOfAGroupFollowsItsFirstPieces)
+Test(BatchQueue, remainingPiecesOfAGroupUseTheZoneOfTheFirst)
 {
-    World world({ "a", "b" });
-    world.add(1, 5, start, 0, 2s, 8s, "a");
-    world.add(2, 1, start, 0, 2s, 8s, "b");
-    world.add(3, 14, start + 10ms);
-    world.end(world.sent[1], start + 217ms);
-    cr_assert_eq(world.sent.size(), 3);
-    cr_assert_eq(world.sent[2].pieces.size(), 10);
-    world.end(world.sent[0], start + 285ms);
-    cr_assert_eq(world.sent.size(), 3, "the other four wait for the same zone");
-    world.end(world.sent[2], start + 590ms);
-    cr_assert_eq(world.sent.at(3).server.zone.value(), "b");
-    cr_assert_eq(world.sent[3].pieces.size(), 4);
+    QueueFixture fixture({ "a", "b" });
+    fixture.add(1, 5, start, 0, 2s, 8s, "a");
+    fixture.add(2, 1, start, 0, 2s, 8s, "b");
+    fixture.add(3, 14, start + 10ms);
+    fixture.finishCall(fixture.sent[1], start + 217ms);
+    cr_assert_eq(fixture.sent.size(), 3);
+    cr_assert_eq(fixture.sent[2].pieces.size(), 10);
+    fixture.finishCall(fixture.sent[0], start + 285ms);
+    cr_assert_eq(fixture.sent.size(), 3, "the other four pieces wait for the same zone");
+    fixture.finishCall(fixture.sent[2], start + 590ms);
+    cr_assert_eq(fixture.sent.at(3).server.zone.value(), "b");
+    cr_assert_eq(fixture.sent[3].pieces.size(), 4);
 }
 
-Test(BatchQueue, aServerWithoutRoomForALargeResultDelaysNoOther)
+Test(BatchQueue, largeResultWithoutCapacityDoesNotBlockOtherPieces)
 {
-    World world({ "a", "b" });
-    world.add(1, 1, start, 0, 2s, 8s, "a", 5'000'000);
-    const auto call = world.sent.at(0);
-    world.add(2, 1, start, 0, 2s, 8s, "b", 5'000'000);
-    world.take([&](auto& actions) {
-        world.queue->ended(call.call, BatchEnd::Answered, { PieceFailure::NoRoom }, start + 200ms, actions);
+    QueueFixture fixture({ "a", "b" });
+    fixture.add(1, 1, start, 0, 2s, 8s, "a", 5'000'000);
+    const auto call = fixture.sent.at(0);
+    fixture.add(2, 1, start, 0, 2s, 8s, "b", 5'000'000);
+    fixture.collect([&](auto& actions) {
+        fixture.queue->onCallEnd(call.call, BatchEnd::Answered, { PieceFailure::NoRoom }, start + 200ms, actions);
     });
-    world.end(world.sent[1], start + 201ms);
-    cr_assert_eq(world.sent.size(), 3);
-    cr_assert_eq(world.sent[2].server.zone.value(), "b", "the large one goes where there is room");
-    world.add(3, 1, start + 202ms, 0, 2s, 8s, "a", 8000);
-    cr_assert_eq(world.sent.size(), 4, "a small result has room where a large one has none");
-    cr_assert_eq(world.sent[3].server.zone.value(), "a");
+    fixture.finishCall(fixture.sent[1], start + 201ms);
+    cr_assert_eq(fixture.sent.size(), 3);
+    cr_assert_eq(fixture.sent[2].server.zone.value(), "b", "the large result goes to a server with enough capacity");
+    fixture.add(3, 1, start + 202ms, 0, 2s, 8s, "a", 8000);
+    cr_assert_eq(fixture.sent.size(), 4, "a small result fits where a large one does not");
+    cr_assert_eq(fixture.sent[3].server.zone.value(), "a");
 }
 
-Test(BatchQueue, aGroupLeavesInOneCall)
+Test(BatchQueue, groupIsSentInOneCall)
 {
-    World world({ "a" });
-    world.add(1, 4, start);
+    QueueFixture fixture({ "a" });
+    fixture.add(1, 4, start);
     for (std::uint64_t i = 2; i < 5; ++i)
-        world.add(i, 4, start + 10ms);
-    world.end(world.sent[0], start + 268ms);
-    cr_assert_eq(world.sent[1].pieces.size(), 8, "half of a group would hold room and wait for the rest");
-    world.end(world.sent[1], start + 600ms);
-    cr_assert_eq(world.sent[2].pieces.size(), 4);
+        fixture.add(i, 4, start + 10ms);
+    fixture.finishCall(fixture.sent[0], start + 268ms);
+    cr_assert_eq(fixture.sent[1].pieces.size(), 8, "half of a group would occupy capacity until the rest is processed");
+    fixture.finishCall(fixture.sent[1], start + 600ms);
+    cr_assert_eq(fixture.sent[2].pieces.size(), 4);
 }
 
-Test(BatchQueue, aGroupThatCanJustMeetItsGoalIsNotSplit)
+Test(BatchQueue, groupThatBarelyMeetsItsTargetIsNotSplit)
 {
-    World world({ "a" });
-    world.add(1, 4, start);
-    world.add(2, 5, start + 10ms, 0, 260ms + 410ms); // Nine pieces take 353 ms.
-    world.add(3, 4, start + 10ms, 1, 260ms + 355ms);
-    world.add(4, 1, start + 10ms, 2);
-    world.end(world.sent[0], start + 268ms);
-    std::map<std::string, std::size_t> taken;
-    for (const auto& it : world.sent.at(1).pieces)
-        ++taken[it.request];
-    cr_assert_eq(taken["r2"], 5);
-    cr_assert_eq(taken["r3"], 4, "whole, or not at all");
+    QueueFixture fixture({ "a" });
+    fixture.add(1, 4, start);
+    fixture.add(2, 5, start + 10ms, 0, 260ms + 410ms); // Nine pieces take 353 ms.
+    fixture.add(3, 4, start + 10ms, 1, 260ms + 355ms);
+    fixture.add(4, 1, start + 10ms, 2);
+    fixture.finishCall(fixture.sent[0], start + 268ms);
+    std::map<std::string, std::size_t> piecesByRequest;
+    for (const auto& it : fixture.sent.at(1).pieces)
+        ++piecesByRequest[it.request];
+    cr_assert_eq(piecesByRequest["r2"], 5);
+    cr_assert_eq(piecesByRequest["r3"], 4, "a group is sent as a whole or not at all");
 }
 
-Test(BatchQueue, aGroupThatDoesNotFitLetsSmallerOnesPass)
+Test(BatchQueue, smallerGroupsOvertakeAGroupThatDoesNotFit)
 {
-    World world({ "a" });
-    world.add(1, 3, start, 0, 2s, 8s, {}, 5'000'000);
-    world.add(2, 2, start + 10ms, 0, 2s, 8s, {}, 3'600'000);
-    world.add(3, 1, start + 10ms, 0, 2s, 8s, {}, 3'600'000);
-    world.end(world.sent[0], start + 251ms);
-    cr_assert_eq(world.sent.at(1).pieces.size(), 1);
-    cr_assert_eq(world.sent[1].pieces[0].request, "r3");
+    QueueFixture fixture({ "a" });
+    fixture.add(1, 3, start, 0, 2s, 8s, {}, 5'000'000);
+    fixture.add(2, 2, start + 10ms, 0, 2s, 8s, {}, 3'600'000);
+    fixture.add(3, 1, start + 10ms, 0, 2s, 8s, {}, 3'600'000);
+    fixture.finishCall(fixture.sent[0], start + 251ms);
+    cr_assert_eq(fixture.sent.at(1).pieces.size(), 1);
+    cr_assert_eq(fixture.sent[1].pieces[0].request, "r3");
 }
 
-Test(BatchQueue, aLargeGroupIsSplitSoThatItIsNotPassedForEver)
+Test(BatchQueue, largeGroupIsSplitToPreventStarvation)
 {
-    World world({ "a" });
-    world.add(1, 1, start);
-    world.add(2, 6, start + 10ms, 0, 2s, 8s, {}, 4'000'000);
-    world.end(world.sent[0], start + 217ms);
-    cr_assert_eq(world.sent.at(1).pieces.size(), 5);
+    QueueFixture fixture({ "a" });
+    fixture.add(1, 1, start);
+    fixture.add(2, 6, start + 10ms, 0, 2s, 8s, {}, 4'000'000);
+    fixture.finishCall(fixture.sent[0], start + 217ms);
+    cr_assert_eq(fixture.sent.at(1).pieces.size(), 5);
 }
 
-Test(BatchQueue, resultsNeverExceedTheRoomOfTheirMaker)
+Test(BatchQueue, resultsNeverExceedTheCapacityOfTheirProducer)
 {
-    World world({ "a" });
-    world.add(1, 10, start, 0, 2s, 8s, {}, 5'000'000);
-    cr_assert_eq(world.sent[0].pieces.size(), 4);
-    world.end(world.sent[0], start + 300ms);
-    cr_assert_eq(world.sent.size(), 1, "no room until something is released");
-    ReleaseResults release { ServiceId("portal"), world.sent[0].server, { "r1/0", "r1/1" } };
-    cr_assert(world.queue->released(release, start + 310ms));
-    cr_assert_eq(world.sent.size(), 1, "the release is on its way");
-    cr_assert_eq(*world.queue->nextPump(), start + 340ms);
-    world.pump(start + 340ms);
-    cr_assert_eq(world.sent.size(), 2);
-    cr_assert_eq(world.sent[1].pieces.size(), 2);
+    QueueFixture fixture({ "a" });
+    fixture.add(1, 10, start, 0, 2s, 8s, {}, 5'000'000);
+    cr_assert_eq(fixture.sent[0].pieces.size(), 4);
+    fixture.finishCall(fixture.sent[0], start + 300ms);
+    cr_assert_eq(fixture.sent.size(), 1, "no capacity until a result is released");
+    ReleaseResults release { ServiceId("portal"), fixture.sent[0].server, { "r1/0", "r1/1" } };
+    cr_assert(fixture.queue->onRelease(release, start + 310ms));
+    cr_assert_eq(fixture.sent.size(), 1, "the release has not reached the server");
+    cr_assert_eq(*fixture.queue->nextPump(), start + 340ms);
+    fixture.dispatch(start + 340ms);
+    cr_assert_eq(fixture.sent.size(), 2);
+    cr_assert_eq(fixture.sent[1].pieces.size(), 2);
 }
 
-Test(BatchQueue, theNextCallLeavesAsTheOneBeforeIsAboutToEnd)
+Test(BatchQueue, nextCallIsSentShortlyBeforeThePreviousOneEnds)
 {
-    World world({ "a" });
-    world.add(1, 1, start);
-    world.add(2, 3, start + 10ms);
-    cr_assert_eq(world.sent.size(), 1);
-    cr_assert_eq(*world.queue->nextPump(), start + 100ms);
-    world.pump(start + 180ms);
-    cr_assert_eq(world.sent.size(), 1);
-    cr_assert_eq(*world.queue->nextPump(), start + 192ms, "25 ms before the end of a call of 217 ms");
-    world.pump(start + 192ms);
-    cr_assert_eq(world.sent.size(), 2);
-    world.add(3, 1, start + 200ms);
-    cr_assert_eq(world.sent.size(), 2, "one call waits at the server, not two");
+    QueueFixture fixture({ "a" });
+    fixture.add(1, 1, start);
+    fixture.add(2, 3, start + 10ms);
+    cr_assert_eq(fixture.sent.size(), 1);
+    cr_assert_eq(*fixture.queue->nextPump(), start + 100ms);
+    fixture.dispatch(start + 180ms);
+    cr_assert_eq(fixture.sent.size(), 1);
+    cr_assert_eq(*fixture.queue->nextPump(), start + 192ms, "25 ms before the end of a call of 217 ms");
+    fixture.dispatch(start + 192ms);
+    cr_assert_eq(fixture.sent.size(), 2);
+    fixture.add(3, 1, start + 200ms);
+    cr_assert_eq(fixture.sent.size(), 2, "at most one call is queued at the server");
 }
 
-Test(BatchQueue, noCallWaitsAtAServerThatLetsNoneWait)
+Test(BatchQueue, noCallIsQueuedAtAServerWithoutAQueue)
 {
     auto limits = tenPieces();
     limits.queue = 0;
-    World world({ "a" }, limits);
-    world.add(1, 1, start);
-    world.add(2, 1, start + 200ms);
-    cr_assert_eq(world.sent.size(), 1);
-    world.end(world.sent[0], start + 217ms);
-    cr_assert_eq(world.sent.size(), 2);
+    QueueFixture fixture({ "a" }, limits);
+    fixture.add(1, 1, start);
+    fixture.add(2, 1, start + 200ms);
+    cr_assert_eq(fixture.sent.size(), 1);
+    fixture.finishCall(fixture.sent[0], start + 217ms);
+    cr_assert_eq(fixture.sent.size(), 2);
 }
 
-Test(BatchQueue, nothingIsSentAfterACallThatIsOverdue)
+Test(BatchQueue, noCallIsQueuedBehindAnOverdueCall)
 {
-    World world({ "a" });
-    world.repeats = 0;
-    world.add(1, 1, start);
-    world.add(2, 1, start + 290ms);
-    cr_assert_eq(world.sent.size(), 1);
-    world.end(world.sent[0], start + 600ms);
-    cr_assert_eq(world.sent.size(), 2);
+    QueueFixture fixture({ "a" });
+    fixture.retryBudget = 0;
+    fixture.add(1, 1, start);
+    fixture.add(2, 1, start + 290ms);
+    cr_assert_eq(fixture.sent.size(), 1);
+    fixture.finishCall(fixture.sent[0], start + 600ms);
+    cr_assert_eq(fixture.sent.size(), 2);
 }
 
-Test(BatchQueue, slowCallsAreDoubledAndEachPieceIsGivenOutOnce)
+Test(BatchQueue, slowCallsAreHedgedAndEachResultIsDeliveredOnce)
 {
-    World world({ "a", "b" });
-    world.add(1, 2, start);
-    const auto first = world.sent.at(0);
-    world.pump(start + 700ms);
-    cr_assert_eq(world.sent.size(), 2);
-    const auto second = world.sent.at(1);
+    QueueFixture fixture({ "a", "b" });
+    fixture.add(1, 2, start);
+    const auto first = fixture.sent.at(0);
+    fixture.dispatch(start + 700ms);
+    cr_assert_eq(fixture.sent.size(), 2);
+    const auto second = fixture.sent.at(1);
     cr_assert_neq(second.server.id, first.server.id);
-    world.end(second, start + 1s);
-    world.end(first, start + 1200ms);
-    std::size_t given = 0;
-    std::size_t spare = 0;
-    for (const auto& it : world.done)
-        (it.group == PieceGroupId(1) ? given : spare) += 1;
-    cr_assert_eq(given, 2);
-    cr_assert_eq(spare, 2, "the other results are given out to be released");
+    fixture.finishCall(second, start + 1s);
+    fixture.finishCall(first, start + 1200ms);
+    std::size_t delivered = 0;
+    std::size_t duplicates = 0;
+    for (const auto& it : fixture.done)
+        (it.group == PieceGroupId(1) ? delivered : duplicates) += 1;
+    cr_assert_eq(delivered, 2);
+    cr_assert_eq(duplicates, 2, "results of the second call are delivered without a group so that they are released");
 }
 
-Test(BatchQueue, slowCallsAreNotDoubledBeyondTheBudget)
+Test(BatchQueue, slowCallsAreNotHedgedBeyondTheRetryBudget)
 {
-    World world({ "a", "b" });
-    world.repeats = 1;
-    world.add(1, 2, start);
-    world.pump(start + 700ms);
-    cr_assert_eq(world.sent.size(), 1);
+    QueueFixture fixture({ "a", "b" });
+    fixture.retryBudget = 1;
+    fixture.add(1, 2, start);
+    fixture.dispatch(start + 700ms);
+    cr_assert_eq(fixture.sent.size(), 1);
 }
 
-Test(BatchQueue, aFullServerGetsThePiecesBackIntoTheQueue)
+Test(BatchQueue, piecesOfACallThatWasNotStartedAreRequeued)
 {
-    World world({ "a" });
-    world.add(1, 2, start);
-    world.end(world.sent[0], start + 5ms, BatchEnd::NotRun);
-    cr_assert_eq(world.done.size(), 0);
-    world.pump(start + 80ms);
-    cr_assert_eq(world.sent.size(), 2);
-    cr_assert_eq(world.sent[1].pieces.size(), 2);
+    QueueFixture fixture({ "a" });
+    fixture.add(1, 2, start);
+    fixture.finishCall(fixture.sent[0], start + 5ms, BatchEnd::NotRun);
+    cr_assert_eq(fixture.done.size(), 0);
+    fixture.dispatch(start + 80ms);
+    cr_assert_eq(fixture.sent.size(), 2);
+    cr_assert_eq(fixture.sent[1].pieces.size(), 2);
 }
 
-Test(BatchQueue, aBrokenCallIsToldToItsAskers)
+Test(BatchQueue, brokenCallFailsItsPieces)
 {
-    World world({ "a" });
-    world.add(1, 2, start);
-    world.end(world.sent[0], start + 5ms, BatchEnd::Broken);
-    cr_assert_eq(world.done.size(), 2);
-    cr_assert_eq(std::get<PieceFailure>(world.done[0].result), PieceFailure::Failed);
+    QueueFixture fixture({ "a" });
+    fixture.add(1, 2, start);
+    fixture.finishCall(fixture.sent[0], start + 5ms, BatchEnd::Broken);
+    cr_assert_eq(fixture.done.size(), 2);
+    cr_assert_eq(std::get<PieceFailure>(fixture.done[0].result), PieceFailure::Failed);
 }
 
-Test(BatchQueue, whatCannotBeMadeInTimeIsToldAtOnce)
+Test(BatchQueue, piecesThatCannotMeetTheirDeadlineFailImmediately)
 {
-    World world({ "a" });
+    QueueFixture fixture({ "a" });
     for (std::uint64_t i = 1; i < 200; ++i)
-        world.add(i, 1, start, 0, 500ms, 2s);
-    world.pump(start + 150ms);
-    cr_assert_gt(world.done.size(), 100);
-    for (const auto& it : world.done)
+        fixture.add(i, 1, start, 0, 500ms, 2s);
+    fixture.dispatch(start + 150ms);
+    cr_assert_gt(fixture.done.size(), 100);
+    for (const auto& it : fixture.done)
         cr_assert_eq(std::get<PieceFailure>(it.result), PieceFailure::Late);
 }
 
-Test(BatchQueue, handingOverKeepsWhatIsInACall)
+Test(BatchQueue, handoverKeepsPiecesOfCallsInProgress)
 {
-    World world({ "a" });
-    world.add(1, 1, start);
-    world.add(2, 3, start);
-    world.take([&](auto& actions) { world.queue->handOver(actions); });
-    cr_assert_eq(world.done.size(), 3);
-    cr_assert_eq(std::get<PieceFailure>(world.done[0].result), PieceFailure::Moved);
-    cr_assert_eq(world.queue->waiting(), 0);
-    cr_assert_eq(world.queue->callsInProgress(), 1);
+    QueueFixture fixture({ "a" });
+    fixture.add(1, 1, start);
+    fixture.add(2, 3, start);
+    fixture.collect([&](auto& actions) { fixture.queue->handOver(actions); });
+    cr_assert_eq(fixture.done.size(), 3);
+    cr_assert_eq(std::get<PieceFailure>(fixture.done[0].result), PieceFailure::OwnerChanged);
+    cr_assert_eq(fixture.queue->waitingCount(), 0);
+    cr_assert_eq(fixture.queue->callsInProgress(), 1);
 }
 
-Test(BatchForecast, lessUrgentPiecesGetWhatTheMoreUrgentLeave)
+Test(BatchForecast, lessUrgentPiecesGetTheRemainingThroughput)
 {
     BatchForecast forecast(tenPieces());
     for (int i = 0; i < 200; ++i)
-        forecast.arrived(0, 1, start + i * 10ms);
+        forecast.recordArrival(0, 1, start + i * 10ms);
     const auto now = start + 2s;
-    const auto urgent = forecast.wait(0, false, 30, 5, now);
-    const auto other = forecast.wait(1, false, 30, 5, now);
+    const auto urgent = forecast.expectedWait(0, false, 30, 5, now);
+    const auto other = forecast.expectedWait(1, false, 30, 5, now);
     cr_assert_lt(urgent, 600ms);
     cr_assert_gt(other, 700ms);
-    cr_assert_geq(forecast.wait(0, true, 30, 5, now), other);
+    cr_assert_geq(forecast.expectedWait(0, true, 30, 5, now), other);
 }
 
-Test(BatchForecast, slowCallsLowerTheCapacity)
+Test(BatchForecast, slowCallsReduceTheThroughput)
 {
     BatchForecast forecast(tenPieces());
-    const double before = forecast.capacity(5);
+    const double before = forecast.throughput(5);
     for (int i = 0; i < 60; ++i)
-        forecast.answered(10, 740ms);
-    cr_assert_float_eq(forecast.capacity(5), before / 2, before * 0.05);
+        forecast.recordCall(10, 740ms);
+    cr_assert_float_eq(forecast.throughput(5), before / 2, before * 0.05);
 }
 
-Test(ResultRoom, aResultTakesRoomFromItsCallUntilReleaseOrTheEndOfItsLife)
+Test(ResultCapacity, resultOccupiesCapacityFromItsCallUntilReleaseOrExpiry)
 {
     const BackendServerId server("s");
-    ResultRoom room;
-    room.setLimits(100, 4s);
-    room.reserve(server, 60);
-    cr_assert_eq(room.left(server, start), 40);
-    room.unreserve(server, 60);
-    room.made(server, "a", 30, start);
-    room.made(server, "b", 30, start);
-    cr_assert_eq(room.left(server, start), 40);
-    cr_assert(room.released(server, "a", start));
-    cr_assert(!room.released(server, "a", start));
-    cr_assert_eq(room.left(server, start), 40, "the server has not been told yet");
-    cr_assert_eq(*room.nextFree(start), start + 30ms);
-    cr_assert_eq(room.left(server, start + 30ms), 70);
-    cr_assert(!room.nextFree(start + 30ms));
-    cr_assert_eq(room.left(server, start + 4s), 100);
+    ResultCapacity capacity;
+    capacity.setLimits(100, 4s);
+    capacity.reserve(server, 60);
+    cr_assert_eq(capacity.available(server, start), 40);
+    capacity.cancelReservation(server, 60);
+    capacity.addResult(server, "a", 30, start);
+    capacity.addResult(server, "b", 30, start);
+    cr_assert_eq(capacity.available(server, start), 40);
+    cr_assert(capacity.release(server, "a", start));
+    cr_assert(!capacity.release(server, "a", start));
+    cr_assert_eq(capacity.available(server, start), 40, "the release has not reached the server");
+    cr_assert_eq(*capacity.nextFreeAt(start), start + 30ms);
+    cr_assert_eq(capacity.available(server, start + 30ms), 70);
+    cr_assert(!capacity.nextFreeAt(start + 30ms));
+    cr_assert_eq(capacity.available(server, start + 4s), 100);
 }
 
-Test(ResultRoom, aServerThatRefusedAResultIsTakenToHoldOthersThatEndOneByOne)
+Test(ResultCapacity, rejectedResultImpliesUntrackedResultsThatExpireLinearly)
 {
     const BackendServerId server("s");
-    ResultRoom room;
-    room.setLimits(100, 4s);
-    room.made(server, "a", 20, start);
-    room.refused(server, 30, start);
-    cr_assert_eq(room.left(server, start), 29, "less than the refused result needs");
-    cr_assert(room.released(server, "a", start));
-    cr_assert_geq(room.left(server, start + 30ms), 49, "own results that end leave room");
-    cr_assert_geq(room.left(server, start + 500ms), 74, "half of the others have ended");
-    cr_assert_eq(room.left(server, start + 1s), 100);
+    ResultCapacity capacity;
+    capacity.setLimits(100, 4s);
+    capacity.addResult(server, "a", 20, start);
+    capacity.onRejected(server, 30, start);
+    cr_assert_eq(capacity.available(server, start), 29, "less than the size of the rejected result");
+    cr_assert(capacity.release(server, "a", start));
+    cr_assert_geq(capacity.available(server, start + 30ms), 49, "the end of a tracked result frees capacity");
+    cr_assert_geq(capacity.available(server, start + 500ms), 74, "half of the untracked results have ended");
+    cr_assert_eq(capacity.available(server, start + 1s), 100);
 }
--- a/src/foxtailwheel/serving/PieceBroker.cpp
+++ b/src/foxtailwheel/serving/PieceBroker.cpp
@@ -12,69 +12,73 @@
 
     using namespace std::chrono_literals;
 
-    /// An owner confirms within this time, or counts as unreachable: many round trips between zones.
-    constexpr Duration confirmLimit = 250ms;
-    /// Period in which an owner tells those that wait for it that it is there.
+    /// An owner that does not acknowledge a request within this time counts as unreachable. Covers many round trips
+    /// between zones.
+    constexpr Duration ackTimeout = 250ms;
+    /// Interval at which an owner sends heartbeats to instances with queued pieces.
     constexpr Duration heartbeatPeriod = 500ms;
-    /// An owner that says nothing for this long has lost its way here, or is gone: two heartbeats and some delay.
-    constexpr Duration silenceLimit = 1300ms;
-    /// Time for which an owner that did not answer is not asked again.
-    constexpr Duration avoidTime = 2s;
-    /// Time for which an instance that gave up a queue is not asked again, until its leaving is known here too.
-    constexpr Duration movedAvoidTime = 500ms;
-    /// Time for which an instance whose connection ended is not asked, while others learn whether it is gone.
-    constexpr Duration lostAvoidTime = 1s;
-    /// Time for which an instance that others ask acts as the owner, though by its own view it may not be.
-    constexpr Duration servedTime = 1s;
-    /// Time for which an owner's word about its queue counts: about the time of two calls.
-    constexpr Duration toldLife = 800ms;
-
-    /// A group that this instance asked for.
-    struct Asked {
+    /// An owner without any message for this time counts as unreachable: two heartbeats and some network delay.
+    constexpr Duration heartbeatTimeout = 1300ms;
+    /// Time for which a silent owner receives no further requests.
+    constexpr Duration silentOwnerBackoff = 2s;
+    /// Time for which an instance that handed over its queue receives no further requests, until the membership update
+    /// arrives here too.
+    constexpr Duration handoverBackoff = 500ms;
+    /// Time for which an instance receives no requests after its connection ended, until membership shows whether it
+    /// was removed.
+    constexpr Duration connectionLossBackoff = 1s;
+    /// Time for which an instance acts as the owner after a request from another instance, even if its own membership
+    /// view names another owner.
+    constexpr Duration actingOwnerLifetime = 1s;
+    /// Lifetime of the wait times reported by an owner: about the duration of two calls.
+    constexpr Duration reportedWaitsLifetime = 800ms;
+
+    /// A group that this instance sent to an owner.
+    struct OutgoingGroup {
         ServiceId service;
-        PieceGroup group; ///< Pieces that are not decided yet.
+        PieceGroup group; ///< Only pieces without a result.
         InstanceId owner;
-        TimePoint askedAt;
-        TimePoint heardAt; ///< When the owner last said anything.
-        bool confirmed = false;
-        bool takenBack = false; ///< An owner before did not answer.
+        TimePoint sentAt;
+        TimePoint lastMessageAt; ///< Time of the last message from the owner.
+        bool acknowledged = false;
+        bool reassigned = false; ///< A previous owner was silent.
 
-        /// When the owner counts as silent, if nothing more is heard of it.
-        TimePoint silentAt() const { return confirmed ? heardAt + silenceLimit : askedAt + confirmLimit; }
+        /// Time at which the owner counts as silent unless another message arrives.
+        TimePoint timeoutAt() const { return acknowledged ? lastMessageAt + heartbeatTimeout : sentAt + ackTimeout; }
     };
 
-    /// What an owner said of its queue.
-    struct Told {
+    /// Wait times that an owner reported for its queue.
+    struct ReportedWaits {
         QueueWaits waits;
-        TimePoint at;
+        TimePoint receivedAt;
     };
 
-    std::size_t toldIndex(std::uint32_t priority)
+    std::size_t priorityIndex(std::uint32_t priority)
     {
-        return std::min<std::size_t>(priority, toldPriorities - 1);
+        return std::min<std::size_t>(priority, reportedPriorities - 1);
     }
 
-    /// A group of this instance's own queue.
-    struct Queued {
-        InstanceId asker; ///< Empty for this instance.
-        PieceGroupId theirs; ///< The asker's number.
+    /// A group in a local queue.
+    struct QueuedGroup {
+        InstanceId requester; ///< Empty for this instance.
+        PieceGroupId requesterGroup; ///< Group ID assigned by the requester.
         ServiceId service;
-        std::size_t missing = 0;
+        std::size_t pendingPieces = 0;
     };
 
-    /// How long so many more pieces would wait.
-    QueueWaits waitsOf(const BatchQueue& queue, std::size_t pieces, TimePoint now)
+    /// Returns the expected waits for additional pieces.
+    QueueWaits queueWaits(const BatchQueue& queue, std::size_t pieces, TimePoint now)
     {
         QueueWaits waits;
-        for (std::size_t i = 0; i < toldPriorities; ++i)
+        for (std::size_t i = 0; i < reportedPriorities; ++i)
             waits.timely.at(i) = queue.expectedWait(static_cast<std::uint32_t>(i), false, pieces, now);
         waits.late = queue.expectedWait(0, true, pieces, now);
         return waits;
     }
 
-    void addTo(PiecesMade& message, const Queued& group, const PieceDone& done)
+    void appendResult(PiecesMade& message, const QueuedGroup& group, const PieceDone& done)
     {
-        message.group = group.theirs;
+        message.group = group.requesterGroup;
         message.service = group.service;
         message.pieces.push_back({ done.index, done.result });
     }
@@ -82,223 +86,227 @@
 } // namespace
 
 struct PieceBroker::Impl {
-    Impl(InstanceId s, FindQueue f, NoteSink n)
+    Impl(InstanceId s, QueueLookup f, NoteSink n)
         : self(std::move(s))
         , findQueue(std::move(f))
-        , note(std::move(n))
+        , log(std::move(n))
     {
     }
 
-    void makeHere(const ServiceId& service, PieceGroup group, TimePoint now, BrokerActions& out);
-    void askOwner(
+    void enqueueLocally(const ServiceId& service, PieceGroup group, TimePoint now, BrokerActions& out);
+    void sendToOwner(
         const InstanceId& owner, const ServiceId& service, PieceGroup group, TimePoint now, BrokerActions& out);
-    std::vector<PieceGroupId> carryOn(const std::vector<BatchAction>& actions, TimePoint now, BrokerActions& out);
-    void carry(const std::vector<BatchAction>& actions, TimePoint now, BrokerActions& out);
-    void takeBack(PieceGroupId group, TimePoint now, BrokerActions& out);
-    void onAsked(const InstanceId& from, const PiecesAsked& asked, TimePoint now, BrokerActions& out);
-    void onTaken(const InstanceId& from, const PiecesTaken& taken, TimePoint now);
-    void onCancelled(const InstanceId& from, const PiecesCancelled& cancelled);
-    void onMade(const InstanceId& from, const PiecesMade& made, TimePoint now, BrokerActions& out);
-    void askAgain(const ServiceId& service, PieceGroup group, TimePoint now, BrokerActions& out);
+    std::vector<PieceGroupId> routeActions(const std::vector<BatchAction>& actions, TimePoint now, BrokerActions& out);
+    void applyActions(const std::vector<BatchAction>& actions, TimePoint now, BrokerActions& out);
+    void reassign(PieceGroupId group, TimePoint now, BrokerActions& out);
+    void onRequest(const InstanceId& from, const PiecesAsked& request, TimePoint now, BrokerActions& out);
+    void onAck(const InstanceId& from, const PiecesTaken& ack, TimePoint now);
+    void onCancel(const InstanceId& from, const PiecesCancelled& cancel);
+    void onResults(const InstanceId& from, const PiecesMade& results, TimePoint now, BrokerActions& out);
+    void resubmit(const ServiceId& service, PieceGroup group, TimePoint now, BrokerActions& out);
     void handOver(TimePoint now, BrokerActions& out);
-    void beat(TimePoint now, BrokerActions& out);
-    void takeOwn(const ServiceId& service, BrokerActions given, TimePoint now, BrokerActions& out);
+    void sendHeartbeats(TimePoint now, BrokerActions& out);
+    void resubmitOwnPieces(const ServiceId& service, BrokerActions results, TimePoint now, BrokerActions& out);
     InstanceId ownerOf(const ServiceId& service, TimePoint now) const;
-    bool releaseHere(const ReleaseResults& release, TimePoint now);
+    bool releaseLocally(const ReleaseResults& release, TimePoint now);
 
     InstanceId self;
-    FindQueue findQueue;
-    NoteSink note;
+    QueueLookup findQueue;
+    NoteSink log;
     std::vector<InstanceId> live;
-    std::map<InstanceId, TimePoint> avoided;
-    std::map<PieceGroupId, Asked> asked;
-    std::map<PieceGroupId, Queued> queued; ///< By the number in the local queues.
-    std::map<PieceGroupId, PieceGroup> ownGroups; ///< This instance's own groups in its queues, by the asker's number.
-    std::map<ServiceId, Told> told;
-    std::map<ServiceId, TimePoint> servedUntil; ///< Services that others asked this instance for lately.
-    std::uint64_t lastQueued = 0;
-    TimePoint beatAt {};
+    std::map<InstanceId, TimePoint> avoidedUntil;
+    std::map<PieceGroupId, OutgoingGroup> outgoingGroups;
+    std::map<PieceGroupId, QueuedGroup> queuedGroups; ///< Keyed by the group ID in the local queues.
+    /// Groups of this instance in its own queues, keyed by the ID that this instance assigned as the requester.
+    std::map<PieceGroupId, PieceGroup> ownGroups;
+    std::map<ServiceId, ReportedWaits> reportedWaits;
+    /// Services for which other instances recently sent requests here.
+    std::map<ServiceId, TimePoint> actingOwnerUntil;
+    std::uint64_t lastGroupId = 0;
+    TimePoint lastHeartbeatAt {};
 };
 
-/// Groups in the local queues have numbers of their own, since askers number theirs themselves.
-void PieceBroker::Impl::makeHere(const ServiceId& service, PieceGroup group, TimePoint now, BrokerActions& out)
+/// Adds a group to the local queue. Groups get a local ID there, since the IDs assigned by different requesters can
+/// collide.
+void PieceBroker::Impl::enqueueLocally(const ServiceId& service, PieceGroup group, TimePoint now, BrokerActions& out)
 {
     auto* queue = findQueue(service);
-    const auto theirs = group.id;
+    const auto requesterGroup = group.id;
     if (queue == nullptr) {
         for (const auto& it : group.pieces)
-            out.emplace_back(PieceDone { theirs, it.index, PieceFailure::Failed });
+            out.emplace_back(PieceDone { requesterGroup, it.index, PieceFailure::Failed });
         return;
     }
-    group.id = PieceGroupId(++lastQueued);
-    queued[group.id] = { {}, theirs, service, group.pieces.size() };
-    ownGroups[theirs] = group;
-    ownGroups[theirs].id = theirs;
+    group.id = PieceGroupId(++lastGroupId);
+    queuedGroups[group.id] = { {}, requesterGroup, service, group.pieces.size() };
+    ownGroups[requesterGroup] = group;
+    ownGroups[requesterGroup].id = requesterGroup;
     std::vector<BatchAction> actions;
     queue->add(std::move(group), now, actions);
-    carry(actions, now, out);
+    applyActions(actions, now, out);
 }
 
-void PieceBroker::Impl::askOwner(
+void PieceBroker::Impl::sendToOwner(
     const InstanceId& owner, const ServiceId& service, PieceGroup group, TimePoint now, BrokerActions& out)
 {
     PiecesAsked message { group.id, service, group.pieces, group.priority, group.goal - now, group.deadline - now,
-        group.preferredZone.value_or(AvailabilityZoneId()), group.leaveZoneAfter - now, group.resultBytes };
+        group.preferredZone.value_or(AvailabilityZoneId()), group.crossZoneAfter - now, group.resultBytes };
     const auto id = group.id;
-    asked[id] = { service, std::move(group), owner, now, now };
+    outgoingGroups[id] = { service, std::move(group), owner, now, now };
     out.emplace_back(TellInstance { owner, std::move(message) });
 }
 
-/// Passes calls on, and results to who asked for them; results of one asker's group go in one message.
-/// @return This instance's own groups that are done.
-std::vector<PieceGroupId> PieceBroker::Impl::carryOn(
+/// Forwards calls, and results to their requesters; all results for one group of a requester go in one message.
+/// @return Completed groups of this instance.
+std::vector<PieceGroupId> PieceBroker::Impl::routeActions(
     const std::vector<BatchAction>& actions, TimePoint now, BrokerActions& out)
 {
     std::vector<PieceGroupId> finished;
-    std::map<std::pair<InstanceId, PieceGroupId>, PiecesMade> remote;
+    std::map<std::pair<InstanceId, PieceGroupId>, PiecesMade> remoteResults;
     for (const auto& it : actions) {
         if (const auto* send = std::get_if<SendBatch>(&it)) {
             out.emplace_back(*send);
             continue;
         }
         const auto& done = std::get<PieceDone>(it);
-        const auto entry = queued.find(done.group);
-        if (entry == queued.end()) {
-            // Cancelled meanwhile: the number tells its owner's asker nothing, but the result still has to be released.
+        const auto entry = queuedGroups.find(done.group);
+        if (entry == queuedGroups.end()) {
+            // The group was cancelled. Its ID means nothing to the requester, but the result still has to be released.
             out.emplace_back(PieceDone { PieceGroupId(), done.index, done.result });
             continue;
         }
         auto& group = entry->second;
-        if (group.asker.empty())
-            out.emplace_back(PieceDone { group.theirs, done.index, done.result });
+        if (group.requester.empty())
+            out.emplace_back(PieceDone { group.requesterGroup, done.index, done.result });
         else
-            addTo(remote[{ group.asker, group.theirs }], group, done);
-        if (--group.missing > 0)
+            appendResult(remoteResults[{ group.requester, group.requesterGroup }], group, done);
+        if (--group.pendingPieces > 0)
             continue;
-        if (group.asker.empty())
-            finished.push_back(group.theirs);
-        queued.erase(entry);
+        if (group.requester.empty())
+            finished.push_back(group.requesterGroup);
+        queuedGroups.erase(entry);
     }
-    for (auto& it : remote) {
+    for (auto& it : remoteResults) {
         if (const auto* queue = findQueue(it.second.service))
-            it.second.waits = waitsOf(*queue, 1, now);
+            it.second.waits = queueWaits(*queue, 1, now);
         out.emplace_back(TellInstance { it.first.first, std::move(it.second) });
     }
     return finished;
 }
 
-void PieceBroker::Impl::carry(const std::vector<BatchAction>& actions, TimePoint now, BrokerActions& out)
+void PieceBroker::Impl::applyActions(const std::vector<BatchAction>& actions, TimePoint now, BrokerActions& out)
 {
-    for (const auto id : carryOn(actions, now, out))
+    for (const auto id : routeActions(actions, now, out))
         ownGroups.erase(id);
 }
 
-/// Asks another for a group that its owner does not answer for.
-void PieceBroker::Impl::takeBack(PieceGroupId id, TimePoint now, BrokerActions& out)
+/// Cancels a group at a silent owner and submits it to another instance.
+void PieceBroker::Impl::reassign(PieceGroupId id, TimePoint now, BrokerActions& out)
 {
-    const auto it = asked.find(id);
+    const auto it = outgoingGroups.find(id);
     auto entry = std::move(it->second);
-    asked.erase(it);
-    if (note)
-        note({ "owner_silent", entry.group.pieces.empty() ? std::string() : entry.group.pieces.front().request,
+    outgoingGroups.erase(it);
+    if (log)
+        log({ "owner_silent", entry.group.pieces.empty() ? std::string() : entry.group.pieces.front().request,
             { { "service", entry.service.value() }, { "owner", entry.owner.value() },
-                { "confirmed", entry.confirmed ? "1" : "0" }, { "again", entry.takenBack ? "1" : "0" },
-                { "waited_ms", std::to_string(static_cast<long>(toMilliseconds(now - entry.askedAt))) } } });
-    avoided[entry.owner] = now + avoidTime;
+                { "confirmed", entry.acknowledged ? "1" : "0" }, { "again", entry.reassigned ? "1" : "0" },
+                { "waited_ms", std::to_string(static_cast<long>(toMilliseconds(now - entry.sentAt))) } } });
+    avoidedUntil[entry.owner] = now + silentOwnerBackoff;
     out.emplace_back(TellInstance { entry.owner, PiecesCancelled { id } });
-    // The next in line gathers the pieces of all who miss the owner; only where that one is silent too are they made
-    // here, since the calls of many instances each for itself would fill the servers' queues.
-    if (entry.takenBack)
-        makeHere(entry.service, std::move(entry.group), now, out);
+    // The next candidate serves all requesters of the silent owner. Pieces are only processed locally if that candidate
+    // is silent too, because separate calls from many instances would fill the servers' queues.
+    if (entry.reassigned)
+        enqueueLocally(entry.service, std::move(entry.group), now, out);
     else
-        askAgain(entry.service, std::move(entry.group), now, out);
-    if (const auto again = asked.find(id); again != asked.end())
-        again->second.takenBack = true;
+        resubmit(entry.service, std::move(entry.group), now, out);
+    if (const auto retried = outgoingGroups.find(id); retried != outgoingGroups.end())
+        retried->second.reassigned = true;
 }
 
-void PieceBroker::Impl::onAsked(const InstanceId& from, const PiecesAsked& message, TimePoint now, BrokerActions& out)
+void PieceBroker::Impl::onRequest(const InstanceId& from, const PiecesAsked& request, TimePoint now, BrokerActions& out)
 {
-    auto* queue = findQueue(message.service);
+    auto* queue = findQueue(request.service);
     if (queue == nullptr)
         return;
-    PieceGroup group { PieceGroupId(++lastQueued), message.pieces, message.priority, now + message.goalLeft,
-        now + message.timeLeft, std::nullopt, now + message.zoneLeft, message.resultBytes };
-    if (!message.preferredZone.empty())
-        group.preferredZone = message.preferredZone;
-    const PiecesTaken taken { message.group, waitsOf(*queue, message.pieces.size(), now) };
-    queued[group.id] = { from, message.group, message.service, message.pieces.size() };
-    servedUntil[message.service] = now + servedTime;
-    out.emplace_back(TellInstance { from, taken });
+    PieceGroup group { PieceGroupId(++lastGroupId), request.pieces, request.priority, now + request.goalLeft,
+        now + request.timeLeft, std::nullopt, now + request.zoneLeft, request.resultBytes };
+    if (!request.preferredZone.empty())
+        group.preferredZone = request.preferredZone;
+    const PiecesTaken ack { request.group, queueWaits(*queue, request.pieces.size(), now) };
+    queuedGroups[group.id] = { from, request.group, request.service, request.pieces.size() };
+    actingOwnerUntil[request.service] = now + actingOwnerLifetime;
+    out.emplace_back(TellInstance { from, ack });
     std::vector<BatchAction> actions;
     queue->add(std::move(group), now, actions);
-    carry(actions, now, out);
+    applyActions(actions, now, out);
 }
 
-void PieceBroker::Impl::onTaken(const InstanceId& from, const PiecesTaken& taken, TimePoint now)
+void PieceBroker::Impl::onAck(const InstanceId& from, const PiecesTaken& ack, TimePoint now)
 {
-    const auto it = asked.find(taken.group);
-    if (it == asked.end() || it->second.owner != from)
+    const auto it = outgoingGroups.find(ack.group);
+    if (it == outgoingGroups.end() || it->second.owner != from)
         return;
-    it->second.confirmed = true;
-    told[it->second.service] = { taken.waits, now };
+    it->second.acknowledged = true;
+    reportedWaits[it->second.service] = { ack.waits, now };
 }
 
-void PieceBroker::Impl::onCancelled(const InstanceId& from, const PiecesCancelled& cancelled)
+void PieceBroker::Impl::onCancel(const InstanceId& from, const PiecesCancelled& cancel)
 {
-    const auto it = std::find_if(queued.begin(), queued.end(),
-        [&](const auto& entry) { return entry.second.asker == from && entry.second.theirs == cancelled.group; });
-    if (it == queued.end())
+    const auto it = std::find_if(queuedGroups.begin(), queuedGroups.end(), [&](const auto& entry) {
+        return entry.second.requester == from && entry.second.requesterGroup == cancel.group;
+    });
+    if (it == queuedGroups.end())
         return;
     if (auto* queue = findQueue(it->second.service))
         queue->cancel(it->first);
-    queued.erase(it);
+    queuedGroups.erase(it);
 }
 
-void PieceBroker::Impl::onMade(const InstanceId& from, const PiecesMade& made, TimePoint now, BrokerActions& out)
+void PieceBroker::Impl::onResults(const InstanceId& from, const PiecesMade& results, TimePoint now, BrokerActions& out)
 {
-    told[made.service] = { made.waits, now };
-    const auto it = asked.find(made.group);
-    PieceGroup moved;
-    for (const auto& piece : made.pieces) {
+    reportedWaits[results.service] = { results.waits, now };
+    const auto it = outgoingGroups.find(results.group);
+    PieceGroup returned;
+    for (const auto& piece : results.pieces) {
         const auto* failure = std::get_if<PieceFailure>(&piece.result);
-        const bool hasMoved = failure != nullptr && *failure == PieceFailure::Moved;
-        // Results of a group that was taken back are given out all the same: the first one counts.
-        if (!hasMoved)
-            out.emplace_back(PieceDone { made.group, piece.index, piece.result });
-        if (it == asked.end())
+        const bool ownerChanged = failure != nullptr && *failure == PieceFailure::OwnerChanged;
+        // Results of a reassigned group are delivered as well: the first result of a piece counts.
+        if (!ownerChanged)
+            out.emplace_back(PieceDone { results.group, piece.index, piece.result });
+        if (it == outgoingGroups.end())
             continue;
         auto& pieces = it->second.group.pieces;
-        const auto waiting
+        const auto outstanding
             = std::find_if(pieces.begin(), pieces.end(), [&piece](const Piece& p) { return p.index == piece.index; });
-        if (waiting == pieces.end())
+        if (outstanding == pieces.end())
             continue;
-        if (hasMoved)
-            moved.pieces.push_back(std::move(*waiting));
-        pieces.erase(waiting);
+        if (ownerChanged)
+            returned.pieces.push_back(std::move(*outstanding));
+        pieces.erase(outstanding);
     }
-    if (it == asked.end())
+    if (it == outgoingGroups.end())
         return;
-    auto rest = std::move(moved.pieces);
-    moved = it->second.group;
-    moved.pieces = std::move(rest);
+    auto returnedPieces = std::move(returned.pieces);
+    returned = it->second.group;
+    returned.pieces = std::move(returnedPieces);
     const auto service = it->second.service;
     if (it->second.group.pieces.empty())
-        asked.erase(it);
-    if (moved.pieces.empty())
+        outgoingGroups.erase(it);
+    if (returned.pieces.empty())
         return;
-    avoided[from] = now + movedAvoidTime;
-    askAgain(service, std::move(moved), now, out);
+    avoidedUntil[from] = now + handoverBackoff;
+    resubmit(service, std::move(returned), now, out);
 }
 
-/// Asks the present owner for pieces that did not leave the queue of the one before.
-void PieceBroker::Impl::askAgain(const ServiceId& service, PieceGroup group, TimePoint now, BrokerActions& out)
+/// Submits pieces again that the previous owner did not send or whose request may be lost.
+void PieceBroker::Impl::resubmit(const ServiceId& service, PieceGroup group, TimePoint now, BrokerActions& out)
 {
     const auto owner = ownerOf(service, now);
-    const bool stillAsked = asked.contains(group.id);
-    if (owner == self || stillAsked)
-        makeHere(service, std::move(group), now, out);
+    const bool stillOutstanding = outgoingGroups.contains(group.id);
+    if (owner == self || stillOutstanding)
+        enqueueLocally(service, std::move(group), now, out);
     else
-        askOwner(owner, service, std::move(group), now, out);
+        sendToOwner(owner, service, std::move(group), now, out);
 }
 
 InstanceId PieceBroker::Impl::ownerOf(const ServiceId& service, TimePoint now) const
@@ -306,8 +314,8 @@
     InstanceId owner = self;
     std::uint64_t highest = 0;
     for (const auto& it : live) {
-        const auto until = avoided.find(it);
-        if (until != avoided.end() && until->second > now)
+        const auto until = avoidedUntil.find(it);
+        if (until != avoidedUntil.end() && until->second > now)
             continue;
         const auto weight = rendezvousWeight("pieces/" + service.value(), it.value());
         if (weight > highest) {
@@ -318,11 +326,11 @@
     return owner;
 }
 
-/// Gives pieces that wait here back to their askers where another instance owns the service now.
+/// Returns queued pieces to their requesters if another instance owns the service now.
 void PieceBroker::Impl::handOver(TimePoint now, BrokerActions& out)
 {
     std::set<ServiceId> services;
-    for (const auto& it : queued)
+    for (const auto& it : queuedGroups)
         services.insert(it.second.service);
     for (const auto& service : services) {
         auto* queue = findQueue(service);
@@ -330,22 +338,23 @@
             continue;
         std::vector<BatchAction> actions;
         queue->handOver(actions);
-        BrokerActions given;
-        const auto finished = carryOn(actions, now, given);
-        takeOwn(service, std::move(given), now, out);
+        BrokerActions results;
+        const auto finished = routeActions(actions, now, results);
+        resubmitOwnPieces(service, std::move(results), now, out);
         for (const auto id : finished)
             ownGroups.erase(id);
     }
 }
 
-/// This instance's own pieces among those given up are asked for again; the rest is passed on.
-void PieceBroker::Impl::takeOwn(const ServiceId& service, BrokerActions results, TimePoint now, BrokerActions& out)
+/// Submits the own pieces among the returned ones again; passes all other actions on.
+void PieceBroker::Impl::resubmitOwnPieces(
+    const ServiceId& service, BrokerActions results, TimePoint now, BrokerActions& out)
 {
     std::map<PieceGroupId, std::vector<std::uint32_t>> own;
     for (auto& it : results) {
         const auto* done = std::get_if<PieceDone>(&it);
         const auto* failure = done == nullptr ? nullptr : std::get_if<PieceFailure>(&done->result);
-        if (failure != nullptr && *failure == PieceFailure::Moved)
+        if (failure != nullptr && *failure == PieceFailure::OwnerChanged)
             own[done->group].push_back(done->index);
         else
             out.push_back(std::move(it));
@@ -355,54 +364,55 @@
         if (it == ownGroups.end())
             continue;
         auto group = it->second;
-        const auto& given = indexes;
-        std::erase_if(group.pieces,
-            [&given](const Piece& p) { return std::find(given.begin(), given.end(), p.index) == given.end(); });
-        askAgain(service, std::move(group), now, out);
+        const auto& returned = indexes;
+        std::erase_if(group.pieces, [&returned](const Piece& p) {
+            return std::find(returned.begin(), returned.end(), p.index) == returned.end();
+        });
+        resubmit(service, std::move(group), now, out);
     }
 }
 
-PieceBroker::PieceBroker(InstanceId self, FindQueue findQueue, NoteSink note)
-    : m_impl(std::make_unique<Impl>(std::move(self), std::move(findQueue), std::move(note)))
+PieceBroker::PieceBroker(InstanceId self, QueueLookup findQueue, NoteSink log)
+    : m_impl(std::make_unique<Impl>(std::move(self), std::move(findQueue), std::move(log)))
 {
 }
 
 PieceBroker::~PieceBroker() = default;
 
 void PieceBroker::setMembers(
-    const std::vector<InstanceId>& live, const std::set<InstanceId>& gone, TimePoint now, BrokerActions& out)
+    const std::vector<InstanceId>& live, const std::set<InstanceId>& removed, TimePoint now, BrokerActions& out)
 {
     m_impl->live = live;
     std::vector<PieceGroupId> lost;
-    for (const auto& it : m_impl->asked) {
-        if (gone.contains(it.second.owner))
+    for (const auto& it : m_impl->outgoingGroups) {
+        if (removed.contains(it.second.owner))
             lost.push_back(it.first);
     }
     for (const auto id : lost)
-        m_impl->takeBack(id, now, out);
+        m_impl->reassign(id, now, out);
     m_impl->handOver(now, out);
 }
 
 bool PieceBroker::gathers(const ServiceId& service, TimePoint now) const
 {
-    const auto served = m_impl->servedUntil.find(service);
-    const bool asked = served != m_impl->servedUntil.end() && served->second > now;
-    return asked || m_impl->ownerOf(service, now) == m_impl->self;
+    const auto entry = m_impl->actingOwnerUntil.find(service);
+    const bool acting = entry != m_impl->actingOwnerUntil.end() && entry->second > now;
+    return acting || m_impl->ownerOf(service, now) == m_impl->self;
 }
 
 void PieceBroker::onLost(const InstanceId& instance, TimePoint now, BrokerActions& out)
 {
     std::vector<PieceGroupId> lost;
-    for (const auto& it : m_impl->asked) {
+    for (const auto& it : m_impl->outgoingGroups) {
         if (it.second.owner == instance)
             lost.push_back(it.first);
     }
-    // An instance that restarts is back in a moment, as an owner whose queue is empty.
-    m_impl->avoided[instance] = now + lostAvoidTime;
+    // An instance that restarts is reachable again within moments, as an owner with an empty queue.
+    m_impl->avoidedUntil[instance] = now + connectionLossBackoff;
     for (const auto id : lost) {
-        auto entry = std::move(m_impl->asked.at(id));
-        m_impl->asked.erase(id);
-        m_impl->askAgain(entry.service, std::move(entry.group), now, out);
+        auto entry = std::move(m_impl->outgoingGroups.at(id));
+        m_impl->outgoingGroups.erase(id);
+        m_impl->resubmit(entry.service, std::move(entry.group), now, out);
     }
 }
 
@@ -415,19 +425,19 @@
 {
     const auto owner = ownerOf(service, now);
     if (owner == m_impl->self)
-        m_impl->makeHere(service, std::move(group), now, out);
+        m_impl->enqueueLocally(service, std::move(group), now, out);
     else
-        m_impl->askOwner(owner, service, std::move(group), now, out);
+        m_impl->sendToOwner(owner, service, std::move(group), now, out);
 }
 
 void PieceBroker::cancel(PieceGroupId group, BrokerActions& out)
 {
-    if (const auto it = m_impl->asked.find(group); it != m_impl->asked.end()) {
+    if (const auto it = m_impl->outgoingGroups.find(group); it != m_impl->outgoingGroups.end()) {
         out.emplace_back(TellInstance { it->second.owner, PiecesCancelled { group } });
-        m_impl->asked.erase(it);
+        m_impl->outgoingGroups.erase(it);
     }
-    std::erase_if(m_impl->queued, [this, group](const auto& it) {
-        if (!it.second.asker.empty() || it.second.theirs != group)
+    std::erase_if(m_impl->queuedGroups, [this, group](const auto& it) {
+        if (!it.second.requester.empty() || it.second.requesterGroup != group)
             return false;
         if (auto* queue = m_impl->findQueue(it.second.service))
             queue->cancel(it.first);
@@ -438,37 +448,37 @@
 
 void PieceBroker::onMessage(const InstanceId& from, const PieceMessage& message, TimePoint now, BrokerActions& out)
 {
-    m_impl->avoided.erase(from);
-    for (auto& it : m_impl->asked) {
+    m_impl->avoidedUntil.erase(from);
+    for (auto& it : m_impl->outgoingGroups) {
         if (it.second.owner == from)
-            it.second.heardAt = now;
+            it.second.lastMessageAt = now;
     }
-    if (const auto* asked = std::get_if<PiecesAsked>(&message))
-        m_impl->onAsked(from, *asked, now, out);
-    else if (const auto* taken = std::get_if<PiecesTaken>(&message))
-        m_impl->onTaken(from, *taken, now);
-    else if (const auto* cancelled = std::get_if<PiecesCancelled>(&message))
-        m_impl->onCancelled(from, *cancelled);
-    else if (const auto* made = std::get_if<PiecesMade>(&message))
-        m_impl->onMade(from, *made, now, out);
+    if (const auto* request = std::get_if<PiecesAsked>(&message))
+        m_impl->onRequest(from, *request, now, out);
+    else if (const auto* ack = std::get_if<PiecesTaken>(&message))
+        m_impl->onAck(from, *ack, now);
+    else if (const auto* cancel = std::get_if<PiecesCancelled>(&message))
+        m_impl->onCancel(from, *cancel);
+    else if (const auto* results = std::get_if<PiecesMade>(&message))
+        m_impl->onResults(from, *results, now, out);
     else if (const auto* release = std::get_if<ReleaseResults>(&message)) {
-        m_impl->releaseHere(*release, now);
+        m_impl->releaseLocally(*release, now);
         out.emplace_back(*release);
     }
 }
 
-/// Gives the room of results back to the queue that had them made.
-/// @return False where that is not this instance's queue.
-bool PieceBroker::Impl::releaseHere(const ReleaseResults& release, TimePoint now)
+/// Frees the capacity of results in the local queue whose calls produced them.
+/// @return False if the results did not come from the local queue.
+bool PieceBroker::Impl::releaseLocally(const ReleaseResults& release, TimePoint now)
 {
     auto* queue = findQueue(release.service);
-    return queue != nullptr && queue->released(release, now);
+    return queue != nullptr && queue->onRelease(release, now);
 }
 
 void PieceBroker::release(ReleaseResults release, TimePoint now, BrokerActions& out)
 {
     const auto owner = ownerOf(release.service, now);
-    const bool known = m_impl->releaseHere(release, now);
+    const bool known = m_impl->releaseLocally(release, now);
     if (known || owner == m_impl->self)
         out.emplace_back(std::move(release));
     else
@@ -482,8 +492,8 @@
     if (queue == nullptr)
         return;
     std::vector<BatchAction> actions;
-    queue->ended(call, end, results, now, actions);
-    m_impl->carry(actions, now, out);
+    queue->onCallEnd(call, end, results, now, actions);
+    m_impl->applyActions(actions, now, out);
 }
 
 void PieceBroker::pump(const ServiceId& service, TimePoint now, BrokerActions& out)
@@ -492,46 +502,46 @@
     if (queue == nullptr)
         return;
     std::vector<BatchAction> actions;
-    queue->pump(now, actions);
-    m_impl->carry(actions, now, out);
+    queue->dispatch(now, actions);
+    m_impl->applyActions(actions, now, out);
 }
 
 void PieceBroker::onTime(TimePoint now, BrokerActions& out)
 {
-    std::vector<PieceGroupId> silent;
-    for (const auto& it : m_impl->asked) {
-        if (it.second.silentAt() <= now)
-            silent.push_back(it.first);
+    std::vector<PieceGroupId> timedOut;
+    for (const auto& it : m_impl->outgoingGroups) {
+        if (it.second.timeoutAt() <= now)
+            timedOut.push_back(it.first);
     }
-    for (const auto id : silent)
-        m_impl->takeBack(id, now, out);
-    m_impl->beat(now, out);
+    for (const auto id : timedOut)
+        m_impl->reassign(id, now, out);
+    m_impl->sendHeartbeats(now, out);
 }
 
-/// Tells every instance that waits for this one that it is there, and how its queues stand.
-void PieceBroker::Impl::beat(TimePoint now, BrokerActions& out)
+/// Sends a heartbeat with the current queue waits to every instance that has pieces queued here.
+void PieceBroker::Impl::sendHeartbeats(TimePoint now, BrokerActions& out)
 {
-    if (now - beatAt < heartbeatPeriod)
+    if (now - lastHeartbeatAt < heartbeatPeriod)
         return;
-    beatAt = now;
-    std::map<std::pair<InstanceId, ServiceId>, PieceGroupId> waiting;
-    for (const auto& it : queued) {
-        if (!it.second.asker.empty())
-            waiting[{ it.second.asker, it.second.service }] = it.second.theirs;
+    lastHeartbeatAt = now;
+    std::map<std::pair<InstanceId, ServiceId>, PieceGroupId> requesters;
+    for (const auto& it : queuedGroups) {
+        if (!it.second.requester.empty())
+            requesters[{ it.second.requester, it.second.service }] = it.second.requesterGroup;
     }
-    for (const auto& [asker, group] : waiting) {
-        if (const auto* queue = findQueue(asker.second))
-            out.emplace_back(TellInstance { asker.first, PiecesTaken { group, waitsOf(*queue, 1, now) } });
+    for (const auto& [requester, group] : requesters) {
+        if (const auto* queue = findQueue(requester.second))
+            out.emplace_back(TellInstance { requester.first, PiecesTaken { group, queueWaits(*queue, 1, now) } });
     }
 }
 
 TimePoint PieceBroker::nextTime() const
 {
     auto next = TimePoint::max();
-    for (const auto& it : m_impl->asked)
-        next = std::min(next, it.second.silentAt());
-    if (!m_impl->queued.empty())
-        next = std::min(next, m_impl->beatAt + heartbeatPeriod);
+    for (const auto& it : m_impl->outgoingGroups)
+        next = std::min(next, it.second.timeoutAt());
+    if (!m_impl->queuedGroups.empty())
+        next = std::min(next, m_impl->lastHeartbeatAt + heartbeatPeriod);
     return next;
 }
 
@@ -541,10 +551,10 @@
     const auto* queue = m_impl->findQueue(service);
     if (queue != nullptr && ownerOf(service, now) == m_impl->self)
         return queue->expectedWait(priority, late, pieces, now);
-    const auto told = m_impl->told.find(service);
-    if (told == m_impl->told.end() || now - told->second.at > toldLife)
+    const auto reported = m_impl->reportedWaits.find(service);
+    if (reported == m_impl->reportedWaits.end() || now - reported->second.receivedAt > reportedWaitsLifetime)
         return {};
-    return late ? told->second.waits.late : told->second.waits.timely.at(toldIndex(priority));
+    return late ? reported->second.waits.late : reported->second.waits.timely.at(priorityIndex(priority));
 }
 
 } // namespace foxtailwheel::serving
--- a/src/foxtailwheel/serving/WaitingPiece.h
+++ b/src/foxtailwheel/serving/WaitingPiece.h
@@ -7,27 +7,28 @@
 
 namespace foxtailwheel::serving {
 
-/// @brief A piece within its group.
+/// @brief Identifies a piece by its group and its index.
 using PieceId = std::pair<PieceGroupId, std::uint32_t>;
 
-/// @brief A piece in a batch queue or in one of its calls; ordered as pieces leave.
+/// @brief A piece in a batch queue or in one of its calls; sorted in the order of sending.
 struct WaitingPiece {
     PieceGroupId group;
     Piece piece;
     std::uint32_t priority = 0;
-    TimePoint goal;
+    TimePoint targetTime;
     TimePoint deadline;
-    std::optional<AvailabilityZoneId> zone; ///< Where it should be made.
-    TimePoint leaveZoneAfter;
+    std::optional<AvailabilityZoneId> zone; ///< Zone in which it should be processed.
+    TimePoint crossZoneAfter;
     std::uint64_t resultBytes = 0;
-    std::uint64_t order = 0; ///< Ties are taken in the order of arrival.
-    TimePoint since; ///< When it came to this queue.
-    std::uint32_t returns = 0; ///< Times that it was put back.
+    std::uint64_t arrivalNumber = 0; ///< Breaks ties in the order of arrival.
+    TimePoint queuedAt; ///< Time at which it was added to this queue.
+    std::uint32_t requeues = 0; ///< Number of times that it was added to the queue again.
 
     PieceId id() const { return { group, piece.index }; }
     friend bool operator<(const WaitingPiece& a, const WaitingPiece& b)
     {
-        return std::tie(a.priority, a.goal, a.order) < std::tie(b.priority, b.goal, b.order);
+        return std::tie(a.priority, a.targetTime, a.arrivalNumber)
+            < std::tie(b.priority, b.targetTime, b.arrivalNumber);
     }
 };
 
