--- a/include/foxtailwheel/base/Clock.h
+++ b/include/foxtailwheel/base/Clock.h
@@ -6,25 +6,25 @@
 
 namespace foxtailwheel {
 
-/// @brief Source of the current time, passed in wherever time is read.
+/// @brief Source of the current time, injected so that tests can control it.
 class Clock {
 public:
     virtual ~Clock() = default;
-    /// @brief Monotonic time, for deadlines and leases.
+    /// @brief Returns the monotonic time, used for deadlines and leases.
     virtual TimePoint now() const = 0;
-    /// @brief Calendar time, for records.
+    /// @brief Returns the wall-clock time, used for records.
     virtual WallTime wallNow() const = 0;
 };
 
-/// @brief Clock of the operating system.
+/// @brief Creates a clock that reads the operating system's time.
 std::unique_ptr<Clock> systemClock();
 
-/// @brief Clock that stands still until it is moved.
+/// @brief Test clock whose time changes only through `advance` and `set`.
 class ManualClock final : public Clock {
 public:
     TimePoint now() const override { return m_now; }
     WallTime wallNow() const override;
-    /// @brief Moves the time forward by `d`.
+    /// @brief Advances the time by `d`.
     void advance(Duration d) { m_now += d; }
     /// @brief Sets the monotonic time.
     void set(TimePoint t) { m_now = t; }
--- a/include/foxtailwheel/base/Error.h
+++ b/include/foxtailwheel/base/Error.h
@@ -7,7 +7,7 @@
 
 namespace foxtailwheel {
 
-/// @brief Kinds of failure that the libraries report as values.
+/// @brief Error codes that the libraries return as values.
 enum class Errc {
     InvalidArgument = 1,
     ParseFailed,
@@ -24,33 +24,33 @@
     Internal,
 };
 
-/// @brief Category of `Errc` values.
+/// @brief Returns the error category of `Errc` values.
 const std::error_category& errorCategory();
 
-/// @brief Makes a standard error code of `e`.
+/// @brief Converts `e` to a `std::error_code`.
 std::error_code make_error_code(Errc e);
 
-/// @brief A failure: its code and a sentence for people.
+/// @brief An error code with a human-readable description.
 struct Error {
     std::error_code code;
     std::string detail;
 
-    /// @brief The detail, or the text of the code where there is none.
+    /// @brief Returns the detail, or the message of the code if the detail is empty.
     std::string message() const { return detail.empty() ? code.message() : detail; }
 };
 
-/// @brief A value or an `Error`; reading the wrong side stops the process.
+/// @brief A value or an `Error`; accessing the one that is not present terminates the process.
 template <class T> using Result = boost::outcome_v2::basic_result<T, Error, boost::outcome_v2::policy::terminate>;
 
-/// @brief Makes the failed side of a `Result`.
-/// @param e Kind of failure.
-/// @param detail Sentence for people.
+/// @brief Creates the error of a `Result`.
+/// @param e Error code.
+/// @param detail Human-readable description.
 inline auto fail(Errc e, std::string detail = {})
 {
     return boost::outcome_v2::failure(Error { make_error_code(e), std::move(detail) });
 }
 
-/// @brief The succeeded side of a `Result<void>`.
+/// @brief Creates a successful `Result<void>`.
 inline auto ok()
 {
     return boost::outcome_v2::success();
--- a/include/foxtailwheel/base/File.h
+++ b/include/foxtailwheel/base/File.h
@@ -6,7 +6,7 @@
 
 namespace foxtailwheel {
 
-/// @brief The whole content of a file, or `NotFound` with the path where it cannot be read.
+/// @brief Reads a whole file; returns `Errc::NotFound` with the path if it cannot be read.
 Result<std::string> readFile(const std::string& path);
 
 } // namespace foxtailwheel
--- a/include/foxtailwheel/base/Ids.h
+++ b/include/foxtailwheel/base/Ids.h
@@ -4,11 +4,11 @@
 
 namespace foxtailwheel {
 
-/// @brief Name of a service that backend servers offer.
+/// @brief Name of a service that a pool of backend servers provides.
 using ServiceId = StrongId<struct ServiceTag>;
 /// @brief Name of a pipeline that callers may request.
 using PipelineId = StrongId<struct PipelineTag>;
-/// @brief Name of one entry instance; a replaced instance may keep it with a higher incarnation.
+/// @brief Name of one instance; a restarted or replaced instance can reuse it with a higher incarnation.
 using InstanceId = StrongId<struct InstanceTag>;
 /// @brief Name of one backend server, unique in the whole configuration.
 using BackendServerId = StrongId<struct BackendServerTag>;
@@ -18,21 +18,21 @@
 using ClientAccountId = StrongId<struct ClientAccountTag>;
 /// @brief The caller's `Idempotency-Key`.
 using IdempotencyKey = StrongId<struct IdempotencyKeyTag>;
-/// @brief Identifies one attempt to hold a claim or change a configuration; unique by 128 random bits.
+/// @brief Identifies one attempt to acquire a claim or to change the configuration; 128 random bits.
 using AttemptToken = StrongId<struct AttemptTokenTag>;
 
-/// @brief Number of one run of a pipeline on one instance.
+/// @brief Number of a pipeline run, unique on its instance.
 using RunId = StrongNumber<struct RunTag>;
-/// @brief Number of one attempt of a stage within its run, from 1.
+/// @brief Number of an attempt of a stage within its run, starting at 1.
 using AttemptNumber = StrongNumber<struct AttemptTag>;
-/// @brief Version of the configuration, from 1; 0 means none.
+/// @brief Version of the configuration, starting at 1; 0 means that there is none.
 using ConfigVersion = StrongNumber<struct ConfigVersionTag>;
-/// @brief Number that grows with every new holder of a lease.
+/// @brief Fencing token, which increases with every new holder of a lease.
 using FencingNumber = StrongNumber<struct FencingTag>;
-/// @brief Number that grows with every new life of an instance.
+/// @brief Incarnation number, which increases with every restart of an instance.
 using Incarnation = StrongNumber<struct IncarnationTag>;
 
-/// @brief Position of a stage in its plan, from 0.
+/// @brief Index of a stage in its plan, starting at 0.
 using StageIndex = std::size_t;
 
 } // namespace foxtailwheel
--- a/include/foxtailwheel/base/Json.h
+++ b/include/foxtailwheel/base/Json.h
@@ -8,33 +8,34 @@
 
 namespace foxtailwheel {
 
-/// @brief The text at `key`, or `fallback` where it is missing or of another type; never throws.
+/// @brief Returns the string at `key`, or `fallback` if it is missing or of another type; never throws.
 inline std::string textAt(const nlohmann::json& node, std::string_view key, std::string fallback = {})
 {
     const auto it = node.is_object() ? node.find(key) : node.end();
     return it != node.end() && it->is_string() ? it->get<std::string>() : std::move(fallback);
 }
 
-/// @brief The whole number at `key`, or `fallback` where it is missing, negative or of another type; never throws.
+/// @brief Returns the unsigned integer at `key`, or `fallback` if it is missing, negative or of another type; never
+/// throws.
 inline std::uint64_t countAt(const nlohmann::json& node, std::string_view key, std::uint64_t fallback = 0)
 {
     const auto it = node.is_object() ? node.find(key) : node.end();
     return it != node.end() && it->is_number_unsigned() ? it->get<std::uint64_t>() : fallback;
 }
 
-/// @brief The truth value at `key`, or `fallback` where it is missing or of another type; never throws.
+/// @brief Returns the boolean at `key`, or `fallback` if it is missing or of another type; never throws.
 inline bool flagAt(const nlohmann::json& node, std::string_view key, bool fallback = false)
 {
     const auto it = node.is_object() ? node.find(key) : node.end();
     return it != node.end() && it->is_boolean() ? it->get<bool>() : fallback;
 }
 
-/// @brief The array at `key`; empty where it is missing or of another type.
+/// @brief Returns the array at `key`, or an empty array if it is missing or of another type.
 inline const nlohmann::json& arrayAt(const nlohmann::json& node, std::string_view key)
 {
-    static const nlohmann::json none = nlohmann::json::array();
+    static const nlohmann::json emptyArray = nlohmann::json::array();
     const auto it = node.is_object() ? node.find(key) : node.end();
-    return it != node.end() && it->is_array() ? *it : none;
+    return it != node.end() && it->is_array() ? *it : emptyArray;
 }
 
 } // namespace foxtailwheel
--- a/include/foxtailwheel/base/Latency.h
+++ b/include/foxtailwheel/base/Latency.h
@@ -7,16 +7,19 @@
 
 namespace foxtailwheel {
 
-/// @brief Histogram of durations in exponential buckets, halved now and then so that old values fade.
+/// @brief Histogram of durations in exponential buckets; the counts are halved periodically to give recent values more
+/// weight.
 ///
-/// Buckets grow by a quarter power of two, from 100 microseconds; a quantile is exact to about 19 in 100.
+/// Each bucket is wider than the previous one by a factor of 2^(1/4), starting at 100 microseconds, so the relative
+/// error of a quantile is at most about 19 percent.
 class LatencyHistogram {
 public:
-    /// @brief Adds one measured duration.
+    /// @brief Records one measured duration.
     void add(Duration d);
-    /// @brief The upper edge of the bucket that holds quantile `q`, or `fallback` with fewer than 20 values.
+    /// @brief Returns the upper bound of the bucket that contains quantile `q`, or `fallback` if there are fewer than
+    /// 20 values.
     Duration quantile(double q, Duration fallback) const;
-    /// @brief Number of values held, after fading.
+    /// @brief Returns the number of values in the buckets, after halving.
     std::uint64_t count() const { return m_count; }
 
 private:
--- a/include/foxtailwheel/base/SmoothedTime.h
+++ b/include/foxtailwheel/base/SmoothedTime.h
@@ -4,17 +4,18 @@
 
 namespace foxtailwheel {
 
-/// @brief Smoothed mean of measured times with its mean deviation, as for the retransmission timer of TCP (RFC 6298).
+/// @brief Exponentially weighted mean and mean deviation of measured latencies, as in the TCP retransmission timer (RFC
+/// 6298).
 class SmoothedTime {
 public:
-    /// @param initial Mean until something is measured.
+    /// @param initial Mean before the first measurement.
     explicit SmoothedTime(Duration initial)
         : m_mean(initial)
     {
     }
 
     void add(Duration measured);
-    /// @brief A time that most measurements stay within: the mean and one mean deviation.
+    /// @brief Returns the mean plus one mean deviation, a bound that most measurements stay below.
     Duration usual() const { return m_mean + m_deviation; }
 
 private:
--- a/include/foxtailwheel/base/StrongId.h
+++ b/include/foxtailwheel/base/StrongId.h
@@ -8,7 +8,8 @@
 
 namespace foxtailwheel {
 
-/// @brief A textual identifier that cannot be mixed up with one of another kind.
+/// @brief A string identifier whose type differs for each `Tag`, so that identifiers of different kinds cannot be
+/// confused.
 /// @tparam Tag An incomplete type that names the kind.
 template <class Tag> class StrongId {
 public:
@@ -29,7 +30,7 @@
     std::string m_value;
 };
 
-/// @brief A whole number that cannot be mixed up with one of another kind.
+/// @brief An unsigned integer whose type differs for each `Tag`, so that numbers of different kinds cannot be confused.
 /// @tparam Tag An incomplete type that names the kind.
 template <class Tag> class StrongNumber {
 public:
--- a/include/foxtailwheel/base/Units.h
+++ b/include/foxtailwheel/base/Units.h
@@ -7,12 +7,12 @@
 
 /// @brief Length of time, in nanoseconds.
 using Duration = std::chrono::nanoseconds;
-/// @brief A point on a clock that never goes back.
+/// @brief A point in time of the monotonic clock.
 using TimePoint = std::chrono::time_point<std::chrono::steady_clock, Duration>;
-/// @brief A point on the calendar, used for records that outlive a process.
+/// @brief A wall-clock time, used for records that outlive a process.
 using WallTime = std::chrono::time_point<std::chrono::system_clock, std::chrono::milliseconds>;
 
-/// @brief A price or an amount spent, in micro-credits.
+/// @brief A price or a cost, in micro-credits.
 struct Cost {
     std::int64_t microCredits = 0;
 
@@ -26,13 +26,13 @@
     }
 };
 
-/// @brief Converts a duration to seconds, as a fraction.
+/// @brief Converts a duration to fractional seconds.
 constexpr double toSeconds(Duration d)
 {
     return std::chrono::duration<double>(d).count();
 }
 
-/// @brief Converts a duration to milliseconds, as a fraction.
+/// @brief Converts a duration to fractional milliseconds.
 constexpr double toMilliseconds(Duration d)
 {
     return std::chrono::duration<double, std::milli>(d).count();
--- a/src/foxtailwheel/base/Clock.cpp
+++ b/src/foxtailwheel/base/Clock.cpp
@@ -8,8 +8,8 @@
 
     class SystemClock final : public Clock {
     public:
-        /// Counts the time that a suspended machine misses, unlike the steady clock of the standard library: leases,
-        /// deadlines and the age of credentials run on meanwhile.
+        /// Uses CLOCK_BOOTTIME, which includes the time that the machine is suspended, unlike
+        /// `std::chrono::steady_clock`: leases, deadlines and the age of credentials keep running during a suspend.
         TimePoint now() const override
         {
             timespec time {};
--- a/src/foxtailwheel/base/FileTest.cpp
+++ b/src/foxtailwheel/base/FileTest.cpp
@@ -6,7 +6,7 @@
 
 using namespace foxtailwheel;
 
-Test(File, isReadWhole)
+Test(File, readsWholeFile)
 {
     const std::string path = std::tmpnam(nullptr);
     std::ofstream(path) << "one\ntwo";
@@ -15,7 +15,7 @@
     cr_assert_eq(text.value(), "one\ntwo");
 }
 
-Test(File, thatIsMissingIsNamed)
+Test(File, reportsPathOfMissingFile)
 {
     const auto text = readFile("/no/such/file");
     cr_assert(!text);
--- a/src/foxtailwheel/base/SmoothedTime.cpp
+++ b/src/foxtailwheel/base/SmoothedTime.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-    /// Shares of a new measurement, as a divisor; those of RFC 6298.
+    /// Weights of a new measurement as divisors: 1/8 for the mean and 1/4 for the deviation, as in RFC 6298.
     constexpr int meanDivisor = 8;
     constexpr int deviationDivisor = 4;
 
--- a/src/foxtailwheel/base/SmoothedTimeTest.cpp
+++ b/src/foxtailwheel/base/SmoothedTimeTest.cpp
@@ -5,12 +5,12 @@
 using namespace foxtailwheel;
 using namespace std::chrono_literals;
 
-Test(SmoothedTime, isTheInitialTimeUntilSomethingIsMeasured)
+Test(SmoothedLatency, returnsInitialTimeBeforeFirstMeasurement)
 {
     cr_assert_eq(SmoothedTime(150ms).usual(), 150ms);
 }
 
-Test(SmoothedTime, followsAStableTime)
+Test(SmoothedLatency, convergesToConstantTime)
 {
     SmoothedTime time(150ms);
     for (int i = 0; i < 60; ++i)
@@ -19,7 +19,7 @@
     cr_assert_leq(time.usual(), 410ms);
 }
 
-Test(SmoothedTime, liesAboveTheMeanWhereTimesVary)
+Test(SmoothedLatency, exceedsMeanWhenTimesVary)
 {
     SmoothedTime time(150ms);
     for (int i = 0; i < 100; ++i)
