--- a/include/foxtailwheel/config/Declarations.h
+++ b/include/foxtailwheel/config/Declarations.h
@@ -11,58 +11,59 @@
 
 namespace foxtailwheel::config {
 
-/// @brief What a service does, which decides how its backend servers are called.
+/// @brief Type of a service, which determines how its backend servers are called.
 enum class ServiceKind { Encoder, Retriever, Reranker, ModelEngine, Plain };
 
-/// @brief Name of a kind as it is written in the declarations.
+/// @brief Returns the name of a kind as it is written in the declarations.
 std::string_view toString(ServiceKind kind);
 
-/// @brief How the engines of a pool treat the fencing number of an order.
+/// @brief Whether the model engines of a service check or ignore the fencing token of an order.
 enum class Fencing { Checked, Ignored };
 
 /// @brief A backend server of one service.
 struct BackendServer {
     BackendServerId id;
-    std::string host; ///< Address as numbers.
+    std::string host; ///< Numeric IPv4 address.
     std::uint16_t port = 0;
     AvailabilityZoneId zone;
 
     friend bool operator==(const BackendServer&, const BackendServer&) = default;
 };
 
-/// @brief A service: a pool of backend servers that are used alike.
+/// @brief A service: a pool of interchangeable backend servers.
 struct Service {
     ServiceId id;
     ServiceKind kind = ServiceKind::Plain;
     std::vector<ServiceId> dependsOn;
     bool idempotent = true;
-    Duration typicalTime {}; ///< Service time of one call, used until it is measured.
-    std::uint32_t concurrency = 1; ///< Calls that one backend server works on at once.
+    Duration typicalTime {}; ///< Expected service time of one call, used until measurements are available.
+    std::uint32_t concurrency = 1; ///< Calls that one backend server processes concurrently.
     Cost price; ///< Price of one attempt.
-    double costWeight = 0; ///< Milliseconds of expected time that one milli-credit is worth when choosing.
+    double costWeight = 0; ///< Expected latency that load balancing trades for cost, in ms per milli-credit.
     Fencing fencing = Fencing::Checked;
-    std::string model; ///< Desired model of a model engine; empty for none.
+    std::string model; ///< Model that the model engines should load; empty for none.
     std::vector<BackendServer> servers;
 
     friend bool operator==(const Service&, const Service&) = default;
 };
 
-/// @brief A pipeline: the service whose answer the caller gets, and by its dependencies all stages before it.
+/// @brief A pipeline, defined by the service whose response the caller receives; its dependencies are the earlier
+/// stages.
 struct Pipeline {
     PipelineId id;
     ServiceId result;
-    Duration deadline {}; ///< Longest deadline that a caller may ask for, and the default.
+    Duration deadline {}; ///< Maximum and default deadline of a request.
     std::uint32_t priority = 0; ///< 0 is the most urgent.
 
     friend bool operator==(const Pipeline&, const Pipeline&) = default;
 };
 
-/// @brief A client account, with its share and its limit.
+/// @brief A client account with its fair-share weight and rate limit.
 struct ClientAccount {
     ClientAccountId id;
     double weight = 1;
-    double ratePerSecond = 0; ///< Requests per second over all instances; 0 means no limit.
-    std::string credentialSha256; ///< SHA-256 of the credential, in hexadecimal digits.
+    double ratePerSecond = 0; ///< Requests per second summed over all instances; 0 means no limit.
+    std::string credentialSha256; ///< SHA-256 hash of the credential, as 64 lower-case hexadecimal digits.
 
     friend bool operator==(const ClientAccount&, const ClientAccount&) = default;
 };
@@ -80,12 +81,12 @@
     AvailabilityZoneId from;
     AvailabilityZoneId to;
     Duration oneWay {};
-    Cost price; ///< Price of one call over the link.
+    Cost price; ///< Price of one call that crosses the link.
 
     friend bool operator==(const Link&, const Link&) = default;
 };
 
-/// @brief Everything that operators declare, checked as a whole.
+/// @brief All declarations of the operators, validated together.
 struct Declarations {
     std::vector<Zone> zones;
     std::vector<Link> links;
@@ -96,13 +97,13 @@
     const Service* findService(const ServiceId& id) const;
     const Pipeline* findPipeline(const PipelineId& id) const;
     const ClientAccount* findAccount(const ClientAccountId& id) const;
-    /// @brief The link between two zones in either direction; null for the same or an undeclared pair.
+    /// @brief Returns the link between two zones in either direction; null if the zones are the same or not linked.
     const Link* findLink(const AvailabilityZoneId& a, const AvailabilityZoneId& b) const;
 
     friend bool operator==(const Declarations&, const Declarations&) = default;
 };
 
-/// @brief Outcome of reading a text: either no fault and whole declarations, or every fault.
+/// @brief Result of parsing: complete declarations without faults, or all faults that were found.
 struct ParsedDeclarations {
     Declarations declarations;
     Faults faults;
@@ -110,11 +111,11 @@
     bool valid() const { return faults.empty(); }
 };
 
-/// @brief Reads and checks the operators' text.
+/// @brief Parses and validates declarations.
 /// @param text YAML, at most 16 MiB.
 ParsedDeclarations parseDeclarations(const std::string& text);
 
-/// @brief The services that `result` needs, itself included, each after its dependencies.
+/// @brief Returns `result` and its transitive dependencies in topological order, dependencies first.
 std::vector<ServiceId> dependencyOrder(const Declarations& declarations, const ServiceId& result);
 
 } // namespace foxtailwheel::config
--- a/include/foxtailwheel/config/Fault.h
+++ b/include/foxtailwheel/config/Fault.h
@@ -5,24 +5,24 @@
 
 namespace foxtailwheel::config {
 
-/// @brief One fault found in a YAML text.
+/// @brief A syntax or validation error in a YAML text.
 struct Fault {
-    int line = 0; ///< From 1; 0 where the fault has no place.
-    int column = 0; ///< From 1.
+    int line = 0; ///< Starting at 1; 0 if the fault has no location.
+    int column = 0; ///< Starting at 1; 0 if the fault has no location.
     std::string path; ///< For example `services[2].price`.
-    std::string message; ///< What is wrong.
-    std::string suggestion; ///< What to write instead; may be empty.
+    std::string message; ///< Description of the error.
+    std::string suggestion; ///< How to correct it; may be empty.
 
     friend bool operator==(const Fault&, const Fault&) = default;
 };
 
-/// @brief Faults of one text, in the order of their places.
+/// @brief Faults of one text; `parseDeclarations` sorts them by location.
 using Faults = std::vector<Fault>;
 
-/// @brief One line for people: `12:5 services[2].price: message (suggestion)`.
+/// @brief Formats a fault as one line: `12:5 services[2].price: message (suggestion)`.
 std::string describe(const Fault& fault);
 
-/// @brief All faults, a line each.
+/// @brief Formats all faults, one per line.
 std::string describe(const Faults& faults);
 
 } // namespace foxtailwheel::config
--- a/include/foxtailwheel/config/Settings.h
+++ b/include/foxtailwheel/config/Settings.h
@@ -10,7 +10,7 @@
 
 namespace foxtailwheel::config {
 
-/// @brief A network address: a numeric host and a port.
+/// @brief A network address: a numeric IPv4 host and a port.
 struct Endpoint {
     std::string host;
     std::uint16_t port = 0;
@@ -20,28 +20,28 @@
     friend auto operator<=>(const Endpoint&, const Endpoint&) = default;
 };
 
-/// @brief Settings of one instance, apart from the declarations.
+/// @brief Settings of one instance, which are separate from the declarations.
 struct Settings {
     InstanceId instance;
     AvailabilityZoneId zone;
     std::string region;
-    Endpoint callers; ///< Where callers connect.
-    Endpoint operators; ///< Where the command-line tool connects.
-    Endpoint peers; ///< Where other instances connect.
-    Endpoint table; ///< The platform's table service.
-    Endpoint instanceList; ///< The platform's list of live instances.
+    Endpoint callers; ///< Listening address for callers.
+    Endpoint operators; ///< Listening address for the command-line tool.
+    Endpoint peers; ///< Listening address for other instances.
+    Endpoint table; ///< Address of the platform's table service.
+    Endpoint instanceList; ///< Address of the platform's list of live instances.
     std::uint32_t threads = 2;
     std::uint32_t shards = 8;
     std::uint64_t maxBodyBytes = 1U << 20U;
     std::uint32_t maxConnections = 4096;
-    Duration balancerDelay {}; ///< Time between failing readiness and refusing new work on shutdown.
-    Duration drainLimit {}; ///< Longest graceful shutdown.
+    Duration balancerDelay {}; ///< Time on shutdown between failing readiness checks and rejecting new requests.
+    Duration drainLimit {}; ///< Timeout of a graceful shutdown.
     std::string logLevel;
     std::string operatorToken;
     std::string peerKey;
 };
 
-/// @brief Outcome of reading settings.
+/// @brief Result of parsing settings; the settings are complete only without faults.
 struct ParsedSettings {
     Settings settings;
     Faults faults;
@@ -49,10 +49,10 @@
     bool valid() const { return faults.empty(); }
 };
 
-/// @brief Reads and checks an instance's settings; secrets are read from the files that they name.
+/// @brief Parses and validates the settings of an instance; secrets are read from the files named there.
 ParsedSettings parseSettings(const std::string& text);
 
-/// @brief Reads `host:port`; false where it is not one.
+/// @brief Parses `host:port`; returns false and leaves `endpoint` unchanged if the text is malformed.
 bool parseEndpoint(const std::string& text, Endpoint& endpoint);
 
 } // namespace foxtailwheel::config
--- a/include/foxtailwheel/config/YamlReader.h
+++ b/include/foxtailwheel/config/YamlReader.h
@@ -12,51 +12,52 @@
 
 namespace foxtailwheel::config {
 
-/// @brief One mapping of a YAML text, read field by field; faults are collected, never thrown.
+/// @brief Reads a mapping of a YAML text field by field; faults are collected, never thrown.
 ///
-/// Every key that is asked for counts as known; `finish` reports the others with the nearest known key.
+/// Every key that is read counts as known; `reportUnknownKeys` reports the others with the most similar known key.
 class YamlReader {
 public:
-    /// @brief Reads `text`; a syntax error is put into `faults` and an empty mapping is returned.
+    /// @brief Parses `text`; on a syntax error, adds it to `faults` and returns an empty mapping.
     static YamlReader parse(const std::string& text, Faults& faults);
 
     YamlReader(YamlReader&&) noexcept;
     YamlReader& operator=(YamlReader&&) noexcept;
     ~YamlReader();
 
-    /// @brief True where the key is present.
+    /// @brief Returns true if the key is present.
     bool has(std::string_view key);
-    /// @brief A text; a missing one is a fault where there is no fallback.
+    /// @brief Reads a non-empty string. Like all methods with a fallback, reports a fault if the key is missing and
+    /// there is none.
     std::string text(std::string_view key, const std::optional<std::string>& fallback = {});
-    /// @brief A list of texts; missing means empty.
+    /// @brief Reads a list of strings; empty if the key is missing.
     std::vector<std::string> texts(std::string_view key);
-    /// @brief `true` or `false`.
+    /// @brief Reads `true` or `false`.
     bool flag(std::string_view key, bool fallback);
-    /// @brief A number within [low, high].
+    /// @brief Reads a number within [low, high].
     double number(std::string_view key, std::optional<double> fallback, double low, double high);
-    /// @brief A whole number within [low, high].
+    /// @brief Reads an unsigned integer within [low, high].
     std::uint64_t count(
         std::string_view key, std::optional<std::uint64_t> fallback, std::uint64_t low, std::uint64_t high);
-    /// @brief A duration with its unit, within [low, high].
+    /// @brief Reads a duration with a unit, within [low, high].
     Duration duration(std::string_view key, std::optional<Duration> fallback, Duration low, Duration high);
-    /// @brief A size with its unit, in bytes, within [low, high].
+    /// @brief Reads a size with a unit and returns bytes, within [low, high].
     std::uint64_t size(
         std::string_view key, std::optional<std::uint64_t> fallback, std::uint64_t low, std::uint64_t high);
-    /// @brief A price with its unit, not negative.
+    /// @brief Reads a non-negative price with a unit.
     Cost cost(std::string_view key, std::optional<Cost> fallback);
-    /// @brief A rate with its unit, above 0.
+    /// @brief Reads a positive rate with a unit and returns events per second.
     double rate(std::string_view key, std::optional<double> fallback);
-    /// @brief One of `choices`, by its position.
+    /// @brief Reads one of `choices` and returns its index.
     std::size_t choice(
         std::string_view key, std::optional<std::size_t> fallback, const std::vector<std::string_view>& choices);
-    /// @brief The mappings of a list; missing means empty.
+    /// @brief Reads a list of mappings; empty if the key is missing.
     std::vector<YamlReader> list(std::string_view key);
-    /// @brief A nested mapping; missing means empty.
+    /// @brief Reads a nested mapping; empty if the key is missing.
     YamlReader section(std::string_view key);
 
-    /// @brief Reports a fault at `key`, or at this mapping where the key is missing.
+    /// @brief Reports a fault at `key`, or at this mapping if the key is missing.
     void fault(std::string_view key, std::string message, std::string suggestion = {});
-    /// @brief Reports the keys that nobody asked for.
+    /// @brief Reports the keys that were never read.
     void finish();
 
 private:
@@ -65,7 +66,7 @@
     std::unique_ptr<Impl> m_impl;
 };
 
-/// @brief The word of `words` that differs least from `word`, or an empty text where none is near.
+/// @brief Returns the word in `words` with the smallest edit distance to `word`, or an empty string if none is similar.
 std::string nearestWord(std::string_view word, const std::vector<std::string>& words);
 
 } // namespace foxtailwheel::config
--- a/src/foxtailwheel/config/Declarations.cpp
+++ b/src/foxtailwheel/config/Declarations.cpp
@@ -16,16 +16,16 @@
         return it == items.end() ? nullptr : &*it;
     }
 
-    void visit(
-        const Declarations& declarations, const ServiceId& id, std::set<ServiceId>& seen, std::vector<ServiceId>& order)
+    void visitDependencies(const Declarations& declarations, const ServiceId& id, std::set<ServiceId>& visited,
+        std::vector<ServiceId>& order)
     {
-        if (!seen.insert(id).second)
+        if (!visited.insert(id).second)
             return;
         const auto* service = declarations.findService(id);
         if (service == nullptr)
             return;
         for (const auto& it : service->dependsOn)
-            visit(declarations, it, seen, order);
+            visitDependencies(declarations, it, visited, order);
         order.push_back(id);
     }
 
@@ -53,17 +53,17 @@
 
 const Link* Declarations::findLink(const AvailabilityZoneId& a, const AvailabilityZoneId& b) const
 {
-    const auto joins
+    const auto connects
         = [&](const Link& link) { return (link.from == a && link.to == b) || (link.from == b && link.to == a); };
-    const auto it = std::find_if(links.begin(), links.end(), joins);
+    const auto it = std::find_if(links.begin(), links.end(), connects);
     return it == links.end() ? nullptr : &*it;
 }
 
 std::vector<ServiceId> dependencyOrder(const Declarations& declarations, const ServiceId& result)
 {
-    std::set<ServiceId> seen;
+    std::set<ServiceId> visited;
     std::vector<ServiceId> order;
-    visit(declarations, result, seen, order);
+    visitDependencies(declarations, result, visited, order);
     return order;
 }
 
--- a/src/foxtailwheel/config/ParseDeclarations.cpp
+++ b/src/foxtailwheel/config/ParseDeclarations.cpp
@@ -13,15 +13,15 @@
 
     using namespace std::chrono_literals;
 
-    constexpr std::size_t largestTextBytes = 16U << 20U;
-    constexpr std::size_t mostStages = 6;
-    constexpr Duration longestDeadline = 10min;
-    constexpr std::size_t credentialDigits = 64;
+    constexpr std::size_t maxTextBytes = 16U << 20U;
+    constexpr std::size_t maxStages = 6;
+    constexpr Duration maxDeadline = 10min;
+    constexpr std::size_t sha256HexDigits = 64;
 
-    /// Reads the sections one by one and checks what refers across them.
-    class Parser {
+    /// Parses the sections in order and validates the references between them.
+    class DeclarationsParser {
     public:
-        Parser(const std::string& text, ParsedDeclarations& out)
+        DeclarationsParser(const std::string& text, ParsedDeclarations& out)
             : m_out(out)
             , m_root(YamlReader::parse(text, out.faults))
         {
@@ -37,16 +37,16 @@
         void readPipelines();
         void readAccounts();
         void checkDependencies();
-        bool reaches(const ServiceId& from, const ServiceId& to, std::set<ServiceId>& seen) const;
+        bool dependsOnTransitively(const ServiceId& from, const ServiceId& to, std::set<ServiceId>& visited) const;
         void checkPipeline(YamlReader& reader, const Pipeline& pipeline);
         AvailabilityZoneId readZone(YamlReader& reader, std::string_view key);
 
-        /// Reads the name of an entry; a name that stands twice is a fault.
+        /// Reads the name of an entry; an empty name, a slash and a duplicate are faults.
         template <class Id> Id readName(YamlReader& reader, std::set<Id>& names)
         {
             Id id(reader.text("name"));
             if (id.value().find('/') != std::string::npos)
-                reader.fault("name", "must not hold a slash");
+                reader.fault("name", "must not contain a slash");
             if (!id.empty() && !names.insert(id).second)
                 reader.fault("name", "'" + id.value() + "' is declared twice", "choose another name");
             return id;
@@ -60,11 +60,11 @@
         std::set<BackendServerId> m_servers;
         std::map<std::string, BackendServerId> m_addresses;
         std::set<PipelineId> m_pipelines;
-        std::map<ServiceId, PipelineId> m_owners;
+        std::map<ServiceId, PipelineId> m_owningPipelines;
         std::set<ClientAccountId> m_accounts;
     };
 
-    std::vector<std::string> namesOf(const std::set<ServiceId>& ids)
+    std::vector<std::string> toNames(const std::set<ServiceId>& ids)
     {
         std::vector<std::string> names;
         for (const auto& it : ids)
@@ -72,13 +72,13 @@
         return names;
     }
 
-    std::string didYouMean(const std::string& word, const std::vector<std::string>& words)
+    std::string formatSuggestion(const std::string& word, const std::vector<std::string>& words)
     {
         const auto nearest = nearestWord(word, words);
         return nearest.empty() ? std::string() : "did you mean `" + nearest + "`?";
     }
 
-    void Parser::run()
+    void DeclarationsParser::run()
     {
         readZones();
         readLinks();
@@ -92,7 +92,7 @@
         });
     }
 
-    void Parser::readZones()
+    void DeclarationsParser::readZones()
     {
         for (auto& reader : m_root.list("zones")) {
             Zone zone;
@@ -105,7 +105,7 @@
             m_root.fault("zones", "needs at least one availability zone");
     }
 
-    AvailabilityZoneId Parser::readZone(YamlReader& reader, std::string_view key)
+    AvailabilityZoneId DeclarationsParser::readZone(YamlReader& reader, std::string_view key)
     {
         AvailabilityZoneId zone(reader.text(key));
         if (zone.empty() || m_zones.contains(zone))
@@ -113,11 +113,12 @@
         std::vector<std::string> names;
         for (const auto& it : m_zones)
             names.push_back(it.value());
-        reader.fault(key, "no availability zone '" + zone.value() + "' is declared", didYouMean(zone.value(), names));
+        reader.fault(
+            key, "no availability zone '" + zone.value() + "' is declared", formatSuggestion(zone.value(), names));
         return zone;
     }
 
-    void Parser::readLinks()
+    void DeclarationsParser::readLinks()
     {
         for (auto& reader : m_root.list("links")) {
             Link link;
@@ -126,7 +127,7 @@
             link.oneWay = reader.duration("one_way", {}, 0ms, 1s);
             link.price = reader.cost("price", Cost {});
             if (link.from == link.to)
-                reader.fault("to", "a link joins two different zones");
+                reader.fault("to", "a link must connect two different zones");
             if (m_out.declarations.findLink(link.from, link.to) != nullptr)
                 reader.fault("from", "the two zones are linked twice", "keep one of the links");
             reader.finish();
@@ -134,7 +135,7 @@
         }
     }
 
-    void Parser::readServices()
+    void DeclarationsParser::readServices()
     {
         m_serviceReaders = m_root.list("services");
         for (auto& reader : m_serviceReaders) {
@@ -145,7 +146,7 @@
             for (auto& it : reader.texts("depends_on"))
                 service.dependsOn.emplace_back(it);
             service.idempotent = reader.flag("idempotent", true);
-            service.typicalTime = reader.duration("typical_time", {}, 100us, longestDeadline);
+            service.typicalTime = reader.duration("typical_time", {}, 100us, maxDeadline);
             service.concurrency = static_cast<std::uint32_t>(reader.count("concurrency", 1, 1, 4096));
             service.price = reader.cost("price", Cost {});
             service.costWeight = reader.number("cost_weight", 0, 0, 1e6);
@@ -161,7 +162,7 @@
             m_root.fault("services", "needs at least one service");
     }
 
-    void Parser::readServers(YamlReader& reader, Service& service)
+    void DeclarationsParser::readServers(YamlReader& reader, Service& service)
     {
         for (auto& entry : reader.list("servers")) {
             BackendServer server;
@@ -169,10 +170,10 @@
             const auto address = entry.text("address");
             Endpoint endpoint;
             if (!parseEndpoint(address, endpoint))
-                entry.fault(
-                    "address", "'" + address + "' is not an IP number and a port", "write for example 10.0.0.7:9000");
-            else if (const auto [it, fresh] = m_addresses.emplace(address, server.id); !fresh)
-                entry.fault("address", "is the address of '" + it->second.value() + "' too");
+                entry.fault("address", "'" + address + "' is not an IPv4 address and a port",
+                    "write for example 10.0.0.7:9000");
+            else if (const auto [it, inserted] = m_addresses.emplace(address, server.id); !inserted)
+                entry.fault("address", "is already used by '" + it->second.value() + "'");
             server.host = endpoint.host;
             server.port = endpoint.port;
             server.zone = readZone(entry, "zone");
@@ -183,54 +184,55 @@
             reader.fault("servers", "needs at least one backend server");
     }
 
-    bool Parser::reaches(const ServiceId& from, const ServiceId& to, std::set<ServiceId>& seen) const
+    bool DeclarationsParser::dependsOnTransitively(
+        const ServiceId& from, const ServiceId& to, std::set<ServiceId>& visited) const
     {
-        if (!seen.insert(from).second)
+        if (!visited.insert(from).second)
             return false;
         const auto* service = m_out.declarations.findService(from);
         if (service == nullptr)
             return false;
         return std::any_of(service->dependsOn.begin(), service->dependsOn.end(),
-            [&](const ServiceId& it) { return it == to || reaches(it, to, seen); });
+            [&](const ServiceId& it) { return it == to || dependsOnTransitively(it, to, visited); });
     }
 
-    void Parser::checkDependencies()
+    void DeclarationsParser::checkDependencies()
     {
         for (std::size_t i = 0; i < m_out.declarations.services.size(); ++i) {
             const auto& service = m_out.declarations.services[i];
             auto& reader = m_serviceReaders[i];
-            std::set<ServiceId> once;
+            std::set<ServiceId> uniqueDependencies;
             for (const auto& it : service.dependsOn) {
                 if (!m_services.contains(it))
                     reader.fault("depends_on", "no service '" + it.value() + "' is declared",
-                        didYouMean(it.value(), namesOf(m_services)));
-                if (!once.insert(it).second)
-                    reader.fault("depends_on", "'" + it.value() + "' stands twice", "remove one of them");
+                        formatSuggestion(it.value(), toNames(m_services)));
+                if (!uniqueDependencies.insert(it).second)
+                    reader.fault("depends_on", "'" + it.value() + "' is listed twice", "remove one of them");
             }
-            std::set<ServiceId> seen;
-            if (reaches(service.id, service.id, seen))
+            std::set<ServiceId> visited;
+            if (dependsOnTransitively(service.id, service.id, visited))
                 reader.fault("depends_on", "'" + service.id.value() + "' depends on itself through a cycle");
         }
     }
 
-    void Parser::checkPipeline(YamlReader& reader, const Pipeline& pipeline)
+    void DeclarationsParser::checkPipeline(YamlReader& reader, const Pipeline& pipeline)
     {
         const auto& declarations = m_out.declarations;
         if (declarations.findService(pipeline.result) == nullptr) {
             reader.fault("result", "no service '" + pipeline.result.value() + "' is declared",
-                didYouMean(pipeline.result.value(), namesOf(m_services)));
+                formatSuggestion(pipeline.result.value(), toNames(m_services)));
             return;
         }
         const auto order = dependencyOrder(declarations, pipeline.result);
-        if (order.size() > mostStages)
+        if (order.size() > maxStages)
             reader.fault("result",
-                "has " + std::to_string(order.size()) + " stages; at most " + std::to_string(mostStages)
+                "has " + std::to_string(order.size()) + " stages; at most " + std::to_string(maxStages)
                     + " are allowed");
         for (const auto& it : order) {
             if (declarations.findService(it)->idempotent)
                 continue;
-            const auto [owner, fresh] = m_owners.emplace(it, pipeline.id);
-            if (!fresh && it != pipeline.result)
+            const auto [owner, inserted] = m_owningPipelines.emplace(it, pipeline.id);
+            if (!inserted && it != pipeline.result)
                 reader.fault("result",
                     "non-idempotent service '" + it.value() + "' would run for pipeline '" + owner->second.value()
                         + "' too",
@@ -238,13 +240,13 @@
         }
     }
 
-    void Parser::readPipelines()
+    void DeclarationsParser::readPipelines()
     {
         for (auto& reader : m_root.list("pipelines")) {
             Pipeline pipeline;
             pipeline.id = readName(reader, m_pipelines);
             pipeline.result = ServiceId(reader.text("result"));
-            pipeline.deadline = reader.duration("deadline", {}, 1ms, longestDeadline);
+            pipeline.deadline = reader.duration("deadline", {}, 1ms, maxDeadline);
             pipeline.priority = static_cast<std::uint32_t>(reader.count("priority", 0, 0, 9));
             checkPipeline(reader, pipeline);
             reader.finish();
@@ -252,7 +254,7 @@
         }
     }
 
-    void Parser::readAccounts()
+    void DeclarationsParser::readAccounts()
     {
         for (auto& reader : m_root.list("accounts")) {
             ClientAccount account;
@@ -261,9 +263,9 @@
             account.ratePerSecond = reader.rate("rate", 0);
             account.credentialSha256 = reader.text("credential_sha256");
             const bool hex = account.credentialSha256.find_first_not_of("0123456789abcdef") == std::string::npos;
-            if (!account.credentialSha256.empty() && (!hex || account.credentialSha256.size() != credentialDigits))
+            if (!account.credentialSha256.empty() && (!hex || account.credentialSha256.size() != sha256HexDigits))
                 reader.fault(
-                    "credential_sha256", "must be 64 lower-case hexadecimal digits", "take it from `sha256sum`");
+                    "credential_sha256", "must be 64 lower-case hexadecimal digits", "use the output of `sha256sum`");
             reader.finish();
             m_out.declarations.accounts.push_back(std::move(account));
         }
@@ -274,11 +276,11 @@
 ParsedDeclarations parseDeclarations(const std::string& text)
 {
     ParsedDeclarations out;
-    if (text.size() > largestTextBytes) {
+    if (text.size() > maxTextBytes) {
         out.faults.push_back({ 0, 0, {}, "the text is larger than 16 MiB", {} });
         return out;
     }
-    Parser(text, out).run();
+    DeclarationsParser(text, out).run();
     return out;
 }
 
--- a/src/foxtailwheel/config/ParseDeclarationsTest.cpp
+++ b/src/foxtailwheel/config/ParseDeclarationsTest.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-const std::string good = R"(zones:
+const std::string validText = R"(zones:
   - { name: a, region: r }
   - { name: b, region: r }
 links:
@@ -38,30 +38,30 @@
 std::string replaced(std::string text, const std::string& from, const std::string& to)
 {
     const auto at = text.find(from);
-    cr_assert(at != std::string::npos, "no '%s' in the text", from.c_str());
+    cr_assert(at != std::string::npos, "the declarations do not contain '%s'", from.c_str());
     return text.replace(at, from.size(), to);
 }
 
-/// The only fault of a text that was changed in one place.
+/// Returns the single fault of valid declarations after one replacement.
 config::Fault onlyFault(const std::string& from, const std::string& to)
 {
-    const auto parsed = config::parseDeclarations(replaced(good, from, to));
+    const auto parsed = config::parseDeclarations(replaced(validText, from, to));
     cr_assert_eq(parsed.faults.size(), 1U, "%s", config::describe(parsed.faults).c_str());
     return parsed.faults.front();
 }
 
 } // namespace
 
-Test(ParseDeclarations, readsWholeText)
+Test(ParseDeclarations, parsesValidDeclarations)
 {
-    const auto parsed = config::parseDeclarations(good);
+    const auto parsed = config::parseDeclarations(validText);
     cr_assert(parsed.valid(), "%s", config::describe(parsed.faults).c_str());
     cr_assert_eq(parsed.declarations.services.size(), 2U);
     cr_assert_eq(parsed.declarations.services[1].price.microCredits, 1000);
     cr_assert(parsed.declarations.services[1].typicalTime == std::chrono::milliseconds(400));
 }
 
-Test(ParseDeclarations, namesPlaceAndNearestKey)
+Test(ParseDeclarations, reportsLocationAndNearestKey)
 {
     const auto fault = onlyFault("    price: 1mc", "    prise: 1mc");
     cr_assert_eq(fault.line, 16);
@@ -70,66 +70,67 @@
     cr_assert_eq(fault.suggestion, std::string("did you mean `price`?"));
 }
 
-Test(ParseDeclarations, refusesMissingUnit)
+Test(ParseDeclarations, rejectsMissingUnit)
 {
     cr_assert(onlyFault("typical_time: 400ms", "typical_time: 400").message.find("needs one of the units")
         != std::string::npos);
 }
 
-Test(ParseDeclarations, refusesUnknownZone)
+Test(ParseDeclarations, rejectsUnknownZone)
 {
     const auto fault = onlyFault("127.0.0.1:9002, zone: b", "127.0.0.1:9002, zone: c");
     cr_assert_eq(fault.path, std::string("services[1].servers[0].zone"));
 }
 
-Test(ParseDeclarations, refusesMissingService)
+Test(ParseDeclarations, rejectsUndeclaredService)
 {
     cr_assert_eq(
         onlyFault("depends_on: [encode]", "depends_on: [encoder]").suggestion, std::string("did you mean `encode`?"));
 }
 
-Test(ParseDeclarations, refusesCycle)
+Test(ParseDeclarations, rejectsDependencyCycle)
 {
-    const auto text = replaced(good, "    kind: encoder\n", "    kind: encoder\n    depends_on: [generate]\n");
+    const auto text = replaced(validText, "    kind: encoder\n", "    kind: encoder\n    depends_on: [generate]\n");
     const auto parsed = config::parseDeclarations(text);
     cr_assert_eq(parsed.faults.size(), 2U);
     cr_assert(parsed.faults[0].message.find("cycle") != std::string::npos);
 }
 
-Test(ParseDeclarations, refusesDuplicates)
+Test(ParseDeclarations, rejectsDuplicateNamesAndAddresses)
 {
     cr_assert(onlyFault("name: g1", "name: e1").message.find("declared twice") != std::string::npos);
-    cr_assert(onlyFault("127.0.0.1:9002", "127.0.0.1:9001").message.find("is the address of") != std::string::npos);
+    cr_assert(
+        onlyFault("127.0.0.1:9002", "127.0.0.1:9001").message.find("is already used by 'e1'") != std::string::npos);
 }
 
 Test(ParseDeclarations, reportsAllFaultsAtOnce)
 {
-    auto text = replaced(good, "typical_time: 10ms", "typical_time: soon");
+    auto text = replaced(validText, "typical_time: 10ms", "typical_time: soon");
     text = replaced(text, "deadline: 2s", "deadline: 2h");
     text = replaced(text, "weight: 2", "weight: none");
     cr_assert_eq(config::parseDeclarations(text).faults.size(), 3U);
 }
 
-Test(ParseDeclarations, refusesEffectSharedByPipelines)
+Test(ParseDeclarations, rejectsNonIdempotentServiceSharedByPipelines)
 {
-    auto text = replaced(good, "    kind: encoder\n", "    kind: plain\n    idempotent: false\n");
+    auto text = replaced(validText, "    kind: encoder\n", "    kind: plain\n    idempotent: false\n");
     text = replaced(text, "accounts:", "  - { name: again, result: generate, deadline: 2s }\naccounts:");
     const auto parsed = config::parseDeclarations(text);
     cr_assert_eq(parsed.faults.size(), 1U, "%s", config::describe(parsed.faults).c_str());
     cr_assert(parsed.faults[0].message.find("would run for pipeline 'answer' too") != std::string::npos);
 }
 
-Test(ParseDeclarations, survivesBrokenYaml)
+Test(ParseDeclarations, rejectsMalformedYaml)
 {
     cr_assert(!config::parseDeclarations("zones: [").valid());
     cr_assert(!config::parseDeclarations("- just\n- a list\n").valid());
     cr_assert(!config::parseDeclarations("").valid());
 }
 
-Test(Difference, namesWhatChanged)
+Test(Difference, reportsChangedItem)
 {
-    const auto before = config::parseDeclarations(good).declarations;
-    const auto after = config::parseDeclarations(replaced(good, "deadline: 2s", "deadline: 3s")).declarations;
+    const auto before = config::parseDeclarations(validText).declarations;
+    const auto after = config::parseDeclarations(replaced(validText, "deadline: 2s", "deadline: 3s")).declarations;
     const auto changes = config::difference(before, after);
     cr_assert_eq(changes.size(), 1U);
     cr_assert_eq(changes[0].path, std::string("pipelines/answer"));
--- a/src/foxtailwheel/config/PatchTest.cpp
+++ b/src/foxtailwheel/config/PatchTest.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-std::string changed(std::string text, Random& random)
+std::string withRandomEdit(std::string text, Random& random)
 {
     const auto at = random.below(text.size() + 1);
     const auto n = random.below(text.size() - at + 1);
@@ -17,12 +17,12 @@
 
 } // namespace
 
-Test(Patch, turnsOneTextIntoTheOther)
+Test(Patch, transformsOldTextIntoNewText)
 {
     Random random(5);
     std::string before = "zones";
     for (int i = 0; i < 5000; ++i) {
-        const auto after = changed(before, random);
+        const auto after = withRandomEdit(before, random);
         const auto patch = config::makePatch(ConfigVersion(1), before, ConfigVersion(2), after);
         const auto result = config::applyPatch(before, patch);
         cr_assert(result.has_value() && result.value() == after);
@@ -30,14 +30,14 @@
     }
 }
 
-Test(Patch, isRefusedByAnotherText)
+Test(Patch, isRejectedForDifferentText)
 {
     const auto patch = config::makePatch(ConfigVersion(1), "a: 1\nb: 2\n", ConfigVersion(2), "a: 1\nb: 3\n");
     cr_assert(!config::applyPatch("a: 2\nb: 2\n", patch).has_value());
     cr_assert(!config::applyPatch("", patch).has_value());
 }
 
-Test(Patch, isAsSmallAsTheChange)
+Test(Patch, containsOnlyChangedBytes)
 {
     const std::string line = "  - { name: account, weight: 1 }\n";
     std::string before;
--- a/src/foxtailwheel/config/Quantity.cpp
+++ b/src/foxtailwheel/config/Quantity.cpp
@@ -20,7 +20,7 @@
         Unit { "GiB", 1024.0 * 1024 * 1024 } };
     constexpr std::array costUnits { Unit { "uc", 1 }, Unit { "mc", 1e3 }, Unit { "c", 1e6 } };
     constexpr std::array rateUnits { Unit { "/s", 1 }, Unit { "/min", 1.0 / 60 } };
-    constexpr double largestQuantity = 1e15;
+    constexpr double maxQuantity = 1e15;
 
     template <std::size_t N> std::string unitNames(const std::array<Unit, N>& units)
     {
@@ -34,7 +34,7 @@
     {
         double n = 0;
         const auto [end, ec] = std::from_chars(text.data(), text.data() + text.size(), n);
-        if (ec != std::errc {} || !std::isfinite(n) || n < 0 || n > largestQuantity)
+        if (ec != std::errc {} || !std::isfinite(n) || n < 0 || n > maxQuantity)
             return fail(Errc::ParseFailed, "'" + std::string(text) + "' is not a number with a unit");
         const auto unit = text.substr(static_cast<std::size_t>(end - text.data()));
         for (const auto& it : units) {
@@ -49,6 +49,7 @@
 Result<Duration> parseDuration(std::string_view text)
 {
     BOOST_OUTCOME_TRY(const auto seconds, parseQuantity(text, durationUnits));
+    // At most 10^9 seconds, so that the nanoseconds fit into 64 bits.
     return fromSeconds(std::min(seconds, 1e9));
 }
 
--- a/src/foxtailwheel/config/Routes.cpp
+++ b/src/foxtailwheel/config/Routes.cpp
@@ -6,27 +6,27 @@
 
 void RouteTable::index()
 {
-    m_byHost.clear();
+    m_routesByHost.clear();
     for (std::size_t i = 0; i < routes.size(); ++i)
-        m_byHost[routes[i].host].push_back(i);
-    for (auto& it : m_byHost) {
+        m_routesByHost[routes[i].host].push_back(i);
+    for (auto& it : m_routesByHost) {
         std::sort(it.second.begin(), it.second.end(), [this](std::size_t a, std::size_t b) {
-            const auto longer = routes[a].prefix.size();
-            const auto other = routes[b].prefix.size();
-            return longer != other ? longer > other : a < b;
+            const auto sizeA = routes[a].prefix.size();
+            const auto sizeB = routes[b].prefix.size();
+            return sizeA != sizeB ? sizeA > sizeB : a < b;
         });
     }
 }
 
 const Route* RouteTable::findRoute(std::string_view host, std::string_view path) const
 {
-    const auto it = m_byHost.find(std::string(host));
-    if (it == m_byHost.end())
+    const auto it = m_routesByHost.find(std::string(host));
+    if (it == m_routesByHost.end())
         return nullptr;
-    const auto& places = it->second;
+    const auto& indexes = it->second;
     const auto found = std::find_if(
-        places.begin(), places.end(), [&](std::size_t place) { return path.starts_with(routes[place].prefix); });
-    return found == places.end() ? nullptr : &routes[*found];
+        indexes.begin(), indexes.end(), [&](std::size_t index) { return path.starts_with(routes[index].prefix); });
+    return found == indexes.end() ? nullptr : &routes[*found];
 }
 
 const RoutedService* RouteTable::findService(const ServiceId& id) const
--- a/src/foxtailwheel/config/RoutesTest.cpp
+++ b/src/foxtailwheel/config/RoutesTest.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-Test(RouteTable, longestPrefixOfTheHostWins)
+Test(RouteTable, selectsLongestPrefixOfHost)
 {
     RouteTable table;
     table.routes = { route("short", "a.example", "/x/"), route("long", "a.example", "/x/y/"),
@@ -30,7 +30,7 @@
     cr_assert_eq(table.findRoute("a.example", "/x/y/z/q")->name, "long");
 }
 
-Test(RouteTable, noRouteForAnotherHostOrAPathWithoutTheSlash)
+Test(RouteTable, returnsNullForOtherHostOrMissingSlash)
 {
     RouteTable table;
     table.routes = { route("only", "a.example", "/x/") };
--- a/src/foxtailwheel/config/Settings.cpp
+++ b/src/foxtailwheel/config/Settings.cpp
@@ -13,14 +13,14 @@
 
     using namespace std::chrono_literals;
 
-    constexpr std::size_t shortestSecretBytes = 16;
+    constexpr std::size_t minSecretBytes = 16;
 
     Endpoint readEndpoint(YamlReader& reader, std::string_view key)
     {
         Endpoint endpoint;
         const auto text = reader.text(key);
         if (!text.empty() && !parseEndpoint(text, endpoint))
-            reader.fault(key, "'" + text + "' is not an IP number and a port", "write for example 127.0.0.1:8080");
+            reader.fault(key, "'" + text + "' is not an IPv4 address and a port", "write for example 127.0.0.1:8080");
         return endpoint;
     }
 
@@ -36,8 +36,8 @@
         }
         auto secret = text.value();
         secret.erase(secret.find_last_not_of(" \r\n") + 1);
-        if (secret.size() < shortestSecretBytes)
-            reader.fault(key, "'" + path + "' holds fewer than 16 bytes", "write a longer secret");
+        if (secret.size() < minSecretBytes)
+            reader.fault(key, "'" + path + "' contains fewer than 16 bytes", "write a longer secret");
         return secret;
     }
 
--- a/src/foxtailwheel/config/YamlReader.cpp
+++ b/src/foxtailwheel/config/YamlReader.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-    constexpr std::size_t largestNesting = 16;
-    constexpr std::size_t farthestSuggestion = 3;
+    constexpr std::size_t maxNesting = 16;
+    constexpr std::size_t maxSuggestionDistance = 3;
 
     std::size_t editDistance(std::string_view a, std::string_view b)
     {
@@ -48,11 +48,11 @@
 std::string nearestWord(std::string_view word, const std::vector<std::string>& words)
 {
     std::string nearest;
-    std::size_t least = std::min(farthestSuggestion, word.size() / 2) + 1;
+    std::size_t minDistance = std::min(maxSuggestionDistance, word.size() / 2) + 1;
     for (const auto& it : words) {
         const std::size_t n = editDistance(word, it);
-        if (n < least) {
-            least = n;
+        if (n < minDistance) {
+            minDistance = n;
             nearest = it;
         }
     }
@@ -62,56 +62,56 @@
 struct YamlReader::Impl {
     std::map<std::string, YAML::Node, std::less<>> fields;
     std::map<std::string, YAML::Mark, std::less<>> keyMarks;
-    std::vector<std::string> known;
+    std::vector<std::string> knownKeys;
     YAML::Mark mark = YAML::Mark::null_mark();
     std::string path;
     std::size_t depth = 0;
     Faults* faults = nullptr;
 
-    static std::unique_ptr<Impl> of(const YAML::Node& node, std::string path, std::size_t depth, Faults& faults);
-    void add(const YAML::Mark& place, const std::string& where, std::string message, std::string suggestion);
-    std::string pathOf(std::string_view key) const { return (path.empty() ? "" : path + ".") + std::string(key); }
+    static std::unique_ptr<Impl> create(const YAML::Node& node, std::string path, std::size_t depth, Faults& faults);
+    void addFault(const YAML::Mark& location, const std::string& where, std::string message, std::string suggestion);
+    std::string pathTo(std::string_view key) const { return (path.empty() ? "" : path + ".") + std::string(key); }
     const YAML::Node* find(std::string_view key);
-    const YAML::Node* scalar(std::string_view key, bool required);
+    const YAML::Node* findScalar(std::string_view key, bool required);
     void readFields(const YAML::Node& node);
 
-    /// Reads one scalar by `parse`, which returns a `Result`, and reports what it cannot read.
-    template <class T, class Parse> T read(std::string_view key, const std::optional<T>& fallback, Parse parse)
+    /// Reads a scalar with `parse`, which returns a `Result`; a parse error is reported as a fault.
+    template <class T, class Parse> T readScalar(std::string_view key, const std::optional<T>& fallback, Parse parse)
     {
-        const auto* node = scalar(key, !fallback);
+        const auto* node = findScalar(key, !fallback);
         if (node == nullptr)
             return fallback.value_or(T {});
         const auto value = parse(node->Scalar());
         if (value.has_value())
             return value.value();
-        add(node->Mark(), pathOf(key), value.error().message(), {});
+        addFault(node->Mark(), pathTo(key), value.error().message(), {});
         return fallback.value_or(T {});
     }
 };
 
-void YamlReader::Impl::add(
-    const YAML::Mark& place, const std::string& where, std::string message, std::string suggestion)
+void YamlReader::Impl::addFault(
+    const YAML::Mark& location, const std::string& where, std::string message, std::string suggestion)
 {
-    const bool placed = !place.is_null();
-    faults->push_back({ placed ? place.line + 1 : 0, placed ? place.column + 1 : 0, where, std::move(message),
-        std::move(suggestion) });
+    const bool hasLocation = !location.is_null();
+    faults->push_back({ hasLocation ? location.line + 1 : 0, hasLocation ? location.column + 1 : 0, where,
+        std::move(message), std::move(suggestion) });
 }
 
 void YamlReader::Impl::readFields(const YAML::Node& node)
 {
     for (const auto& it : node) {
         if (!it.first.IsScalar()) {
-            add(it.first.Mark(), path, "a key must be a plain word", {});
+            addFault(it.first.Mark(), path, "a key must be a scalar", {});
             continue;
         }
         const auto& key = it.first.Scalar();
         if (!fields.emplace(key, it.second).second)
-            add(it.first.Mark(), pathOf(key), "the key stands twice", "remove one of them");
+            addFault(it.first.Mark(), pathTo(key), "duplicate key", "remove one of them");
         keyMarks.emplace(key, it.first.Mark());
     }
 }
 
-std::unique_ptr<YamlReader::Impl> YamlReader::Impl::of(
+std::unique_ptr<YamlReader::Impl> YamlReader::Impl::create(
     const YAML::Node& node, std::string path, std::size_t depth, Faults& faults)
 {
     auto impl = std::make_unique<Impl>();
@@ -119,33 +119,33 @@
     impl->depth = depth;
     impl->faults = &faults;
     impl->mark = node.Mark();
-    if (depth > largestNesting)
-        impl->add(impl->mark, impl->path, "nested too deeply", {});
+    if (depth > maxNesting)
+        impl->addFault(impl->mark, impl->path, "nested too deeply", {});
     else if (node.IsMap())
         impl->readFields(node);
     else if (!node.IsNull())
-        impl->add(impl->mark, impl->path, "must be a mapping", "write `key: value` lines here");
+        impl->addFault(impl->mark, impl->path, "must be a mapping", "write `key: value` lines here");
     return impl;
 }
 
 const YAML::Node* YamlReader::Impl::find(std::string_view key)
 {
-    known.emplace_back(key);
+    knownKeys.emplace_back(key);
     const auto it = fields.find(key);
     return it == fields.end() ? nullptr : &it->second;
 }
 
-const YAML::Node* YamlReader::Impl::scalar(std::string_view key, bool required)
+const YAML::Node* YamlReader::Impl::findScalar(std::string_view key, bool required)
 {
     const auto* node = find(key);
     if (node == nullptr) {
         if (required)
-            add(mark, pathOf(key), "is missing", "add `" + std::string(key) + ":`");
+            addFault(mark, pathTo(key), "is missing", "add `" + std::string(key) + ":`");
         return nullptr;
     }
     if (node->IsScalar())
         return node;
-    add(node->Mark(), pathOf(key), "must be a single value", {});
+    addFault(node->Mark(), pathTo(key), "must be a single value", {});
     return nullptr;
 }
 
@@ -160,11 +160,11 @@
 YamlReader YamlReader::parse(const std::string& text, Faults& faults)
 {
     try {
-        return YamlReader(Impl::of(YAML::Load(text), {}, 0, faults));
+        return YamlReader(Impl::create(YAML::Load(text), {}, 0, faults));
     } catch (const YAML::Exception& ex) {
         faults.push_back({ ex.mark.line + 1, ex.mark.column + 1, {}, "not valid YAML: " + ex.msg, {} });
     }
-    return YamlReader(Impl::of(YAML::Node(), {}, 0, faults));
+    return YamlReader(Impl::create(YAML::Node(), {}, 0, faults));
 }
 
 bool YamlReader::has(std::string_view key)
@@ -179,7 +179,7 @@
             return fail(Errc::ParseFailed, "must not be empty");
         return value;
     };
-    return m_impl->read<std::string>(key, fallback, parse);
+    return m_impl->readScalar<std::string>(key, fallback, parse);
 }
 
 std::vector<std::string> YamlReader::texts(std::string_view key)
@@ -189,14 +189,14 @@
     if (node == nullptr || node->IsNull())
         return values;
     if (!node->IsSequence()) {
-        m_impl->add(node->Mark(), m_impl->pathOf(key), "must be a list", "write `[a, b]`");
+        m_impl->addFault(node->Mark(), m_impl->pathTo(key), "must be a list", "write `[a, b]`");
         return values;
     }
     for (const auto& it : *node) {
         if (it.IsScalar())
             values.push_back(it.Scalar());
         else
-            m_impl->add(it.Mark(), m_impl->pathOf(key), "must hold plain words", {});
+            m_impl->addFault(it.Mark(), m_impl->pathTo(key), "must contain only scalars", {});
     }
     return values;
 }
@@ -208,7 +208,7 @@
             return value == "true";
         return fail(Errc::ParseFailed, "must be true or false");
     };
-    return m_impl->read<bool>(key, fallback, parse);
+    return m_impl->readScalar<bool>(key, fallback, parse);
 }
 
 double YamlReader::number(std::string_view key, std::optional<double> fallback, double low, double high)
@@ -220,7 +220,7 @@
             return fail(Errc::ParseFailed, "must be a number from " + formatNumber(low) + " to " + formatNumber(high));
         return n;
     };
-    return m_impl->read<double>(key, fallback, parse);
+    return m_impl->readScalar<double>(key, fallback, parse);
 }
 
 std::uint64_t YamlReader::count(
@@ -234,7 +234,7 @@
                 "must be a whole number from " + std::to_string(low) + " to " + std::to_string(high));
         return n;
     };
-    return m_impl->read<std::uint64_t>(key, fallback, parse);
+    return m_impl->readScalar<std::uint64_t>(key, fallback, parse);
 }
 
 Duration YamlReader::duration(std::string_view key, std::optional<Duration> fallback, Duration low, Duration high)
@@ -247,7 +247,7 @@
                     + "ms");
         return d;
     };
-    return m_impl->read<Duration>(key, fallback, parse);
+    return m_impl->readScalar<Duration>(key, fallback, parse);
 }
 
 std::uint64_t YamlReader::size(
@@ -260,12 +260,12 @@
                 Errc::ParseFailed, "must be from " + std::to_string(low) + "B to " + std::to_string(high) + "B");
         return n;
     };
-    return m_impl->read<std::uint64_t>(key, fallback, parse);
+    return m_impl->readScalar<std::uint64_t>(key, fallback, parse);
 }
 
 Cost YamlReader::cost(std::string_view key, std::optional<Cost> fallback)
 {
-    return m_impl->read<Cost>(key, fallback, [](const std::string& value) { return parseCost(value); });
+    return m_impl->readScalar<Cost>(key, fallback, [](const std::string& value) { return parseCost(value); });
 }
 
 double YamlReader::rate(std::string_view key, std::optional<double> fallback)
@@ -273,16 +273,16 @@
     const auto parse = [](const std::string& value) -> Result<double> {
         BOOST_OUTCOME_TRY(const auto n, parseRate(value));
         if (n <= 0)
-            return fail(Errc::ParseFailed, "must be above 0");
+            return fail(Errc::ParseFailed, "must be greater than 0");
         return n;
     };
-    return m_impl->read<double>(key, fallback, parse);
+    return m_impl->readScalar<double>(key, fallback, parse);
 }
 
 std::size_t YamlReader::choice(
     std::string_view key, std::optional<std::size_t> fallback, const std::vector<std::string_view>& choices)
 {
-    const auto* node = m_impl->scalar(key, !fallback);
+    const auto* node = m_impl->findScalar(key, !fallback);
     if (node == nullptr)
         return fallback.value_or(0);
     const auto it = std::find(choices.begin(), choices.end(), node->Scalar());
@@ -291,7 +291,7 @@
     std::string names;
     for (const auto& name : choices)
         names += (names.empty() ? "" : ", ") + std::string(name);
-    m_impl->add(node->Mark(), m_impl->pathOf(key), "'" + node->Scalar() + "' is none of " + names, {});
+    m_impl->addFault(node->Mark(), m_impl->pathTo(key), "'" + node->Scalar() + "' is not one of " + names, {});
     return fallback.value_or(0);
 }
 
@@ -302,12 +302,12 @@
     if (node == nullptr || node->IsNull())
         return readers;
     if (!node->IsSequence()) {
-        m_impl->add(node->Mark(), m_impl->pathOf(key), "must be a list", "start each entry with `- `");
+        m_impl->addFault(node->Mark(), m_impl->pathTo(key), "must be a list", "start each entry with `- `");
         return readers;
     }
     for (const auto& it : *node) {
-        auto path = m_impl->pathOf(key) + "[" + std::to_string(readers.size()) + "]";
-        readers.push_back(YamlReader(Impl::of(it, std::move(path), m_impl->depth + 1, *m_impl->faults)));
+        auto path = m_impl->pathTo(key) + "[" + std::to_string(readers.size()) + "]";
+        readers.push_back(YamlReader(Impl::create(it, std::move(path), m_impl->depth + 1, *m_impl->faults)));
     }
     return readers;
 }
@@ -316,23 +316,23 @@
 {
     const auto* node = m_impl->find(key);
     return YamlReader(
-        Impl::of(node == nullptr ? YAML::Node() : *node, m_impl->pathOf(key), m_impl->depth + 1, *m_impl->faults));
+        Impl::create(node == nullptr ? YAML::Node() : *node, m_impl->pathTo(key), m_impl->depth + 1, *m_impl->faults));
 }
 
 void YamlReader::fault(std::string_view key, std::string message, std::string suggestion)
 {
     const auto it = m_impl->fields.find(key);
-    const auto& place = it == m_impl->fields.end() ? m_impl->mark : it->second.Mark();
-    m_impl->add(place, m_impl->pathOf(key), std::move(message), std::move(suggestion));
+    const auto& location = it == m_impl->fields.end() ? m_impl->mark : it->second.Mark();
+    m_impl->addFault(location, m_impl->pathTo(key), std::move(message), std::move(suggestion));
 }
 
 void YamlReader::finish()
 {
     for (const auto& it : m_impl->keyMarks) {
-        if (std::find(m_impl->known.begin(), m_impl->known.end(), it.first) != m_impl->known.end())
+        if (std::find(m_impl->knownKeys.begin(), m_impl->knownKeys.end(), it.first) != m_impl->knownKeys.end())
             continue;
-        const auto nearest = nearestWord(it.first, m_impl->known);
-        m_impl->add(it.second, m_impl->pathOf(it.first), "unknown key",
+        const auto nearest = nearestWord(it.first, m_impl->knownKeys);
+        m_impl->addFault(it.second, m_impl->pathTo(it.first), "unknown key",
             nearest.empty() ? "remove it" : "did you mean `" + nearest + "`?");
     }
 }
