--- a/include/foxtailwheel/serving/Catalog.h
+++ b/include/foxtailwheel/serving/Catalog.h
@@ -24,7 +24,7 @@
 /// @brief Makes the catalog of a configuration; pools of services that stay are taken over from `before`.
 /// @param before The catalog in force until now, or null.
 std::shared_ptr<const Catalog> makeCatalog(ConfigVersion version,
-    std::shared_ptr<const config::Declarations> declarations, const Catalog* before,
+    std::shared_ptr<const config::Declarations> declarations, const Catalog* previous,
     const routing::PoolOptions& options);
 
 } // namespace foxtailwheel::serving
--- a/include/foxtailwheel/serving/EventStream.h
+++ b/include/foxtailwheel/serving/EventStream.h
@@ -9,7 +9,7 @@
 namespace foxtailwheel::serving {
 
 /// @brief One whole event of a `text/event-stream` body, its closing blank line included.
-struct StreamedEvent {
+struct ServerSentEvent {
     std::string bytes;
     std::optional<std::uint64_t> id; ///< From its `id:` line.
 };
@@ -18,12 +18,12 @@
 class EventSplitter {
 public:
     /// @brief Takes a chunk of any length and returns the events that it completes.
-    std::vector<StreamedEvent> feed(std::string_view chunk);
+    std::vector<ServerSentEvent> feed(std::string_view chunk);
     /// @brief True where bytes of an event that is not whole are held.
-    bool midEvent() const { return !m_rest.empty(); }
+    bool hasPartialEvent() const { return !m_partialEvent.empty(); }
 
 private:
-    std::string m_rest;
+    std::string m_partialEvent;
 };
 
 } // namespace foxtailwheel::serving
--- a/include/foxtailwheel/serving/Forwarder.h
+++ b/include/foxtailwheel/serving/Forwarder.h
@@ -156,9 +156,9 @@
     Duration retryWindow = std::chrono::seconds(10);
     Duration credentialLife = std::chrono::milliseconds(4500); ///< Oldest confirmation of credentials that counts.
     bool batchAcrossInstances = true; ///< Off only to measure what shared batches gain.
-    bool earlyRefusal = true; ///< Off only to measure what refusing at once gains.
+    bool admissionControl = true; ///< Off only to measure what refusing at once gains.
     bool affinity = true; ///< Off only to measure what cached prompts gain.
-    bool secondAttempts = true; ///< Off only to measure what they gain.
+    bool hedging = true; ///< Off only to measure what they gain.
     NoteSink note; ///< May be empty.
 };
 
@@ -189,7 +189,7 @@
     /// @brief Takes the live instances, this one included, those among them that may own services, and those that are
     /// gone.
     virtual void setMembers(const std::vector<InstanceId>& live, const std::vector<InstanceId>& owners,
-        const std::set<InstanceId>& gone, TimePoint now, ForwardActions& out)
+        const std::set<InstanceId>& removed, TimePoint now, ForwardActions& out)
         = 0;
     /// @brief Another instance has said something about pieces.
     virtual void onPeer(const InstanceId& from, const PieceMessage& message, TimePoint now, ForwardActions& out) = 0;
--- a/src/foxtailwheel/serving/CallsInProgress.cpp
+++ b/src/foxtailwheel/serving/CallsInProgress.cpp
@@ -10,17 +10,17 @@
 
     /// The next call to a server leaves this long before the one in progress should end: a connection, the call and the
     /// answer before it take about four ways between zones, in which the server would be idle.
-    constexpr Duration nextCallLead = 25ms;
+    constexpr Duration nextCallLeadTime = 25ms;
     /// A call that is late by more than this may take much longer, and nothing is sent after it.
-    constexpr Duration mostOverdue = 60ms;
+    constexpr Duration maxOverdue = 60ms;
     /// Pause before a server that did not start a call is sent another: others fill its queue for about so long.
-    constexpr Duration busyPause = 60ms;
+    constexpr Duration busyBackoff = 60ms;
 
 } // namespace
 
 bool BatchCall::isEnding(TimePoint now) const
 {
-    return endsAt() - now <= nextCallLead && now - endsAt() <= mostOverdue;
+    return endsAt() - now <= nextCallLeadTime && now - endsAt() <= maxOverdue;
 }
 
 std::optional<BatchCall> CallsInProgress::take(CallId id, TimePoint now)
@@ -40,7 +40,7 @@
 void CallsInProgress::pause(const BackendServerId& server, TimePoint now)
 {
     std::erase_if(m_pausedUntil, [now](const auto& it) { return it.second <= now; });
-    m_pausedUntil[server] = now + busyPause;
+    m_pausedUntil[server] = now + busyBackoff;
 }
 
 bool CallsInProgress::takesNext(const BackendServerId& server, const config::BatchLimits& limits, TimePoint now) const
@@ -48,11 +48,11 @@
     const auto paused = m_pausedUntil.find(server);
     if (paused != m_pausedUntil.end() && paused->second > now)
         return false;
-    const auto stay = std::count_if(m_calls.begin(), m_calls.end(), [&](const auto& it) {
-        const bool leaves = limits.queue > 0 && it.second.isEnding(now);
-        return it.second.server.id == server && !leaves;
+    const auto occupied = std::count_if(m_calls.begin(), m_calls.end(), [&](const auto& it) {
+        const bool endsInTime = limits.queue > 0 && it.second.isEnding(now);
+        return it.second.server.id == server && !endsInTime;
     });
-    return static_cast<std::size_t>(stay) < limits.slots;
+    return static_cast<std::size_t>(occupied) < limits.slots;
 }
 
 TimePoint CallsInProgress::freeAt(const BackendServerId& server, TimePoint now) const
@@ -95,7 +95,7 @@
     for (const auto& it : m_pausedUntil)
         consider(it.second);
     for (const auto& it : m_calls)
-        consider(it.second.endsAt() - nextCallLead);
+        consider(it.second.endsAt() - nextCallLeadTime);
     return next;
 }
 
--- a/src/foxtailwheel/serving/Catalog.cpp
+++ b/src/foxtailwheel/serving/Catalog.cpp
@@ -3,7 +3,7 @@
 namespace foxtailwheel::serving {
 
 std::shared_ptr<const Catalog> makeCatalog(ConfigVersion version,
-    std::shared_ptr<const config::Declarations> declarations, const Catalog* before,
+    std::shared_ptr<const config::Declarations> declarations, const Catalog* previous,
     const routing::PoolOptions& options)
 {
     auto catalog = std::make_shared<Catalog>();
@@ -16,8 +16,8 @@
     }
     for (const auto& it : catalog->declarations->services) {
         std::shared_ptr<routing::ServerPool> pool;
-        if (before != nullptr && before->pools.contains(it.id))
-            pool = before->pools.at(it.id);
+        if (previous != nullptr && previous->pools.contains(it.id))
+            pool = previous->pools.at(it.id);
         if (pool)
             pool->update(it, *catalog->declarations);
         else
--- a/src/foxtailwheel/serving/EventStream.cpp
+++ b/src/foxtailwheel/serving/EventStream.cpp
@@ -18,7 +18,7 @@
         return std::string_view::npos;
     }
 
-    std::optional<std::uint64_t> idOf(std::string_view event)
+    std::optional<std::uint64_t> parseEventId(std::string_view event)
     {
         while (!event.empty()) {
             const auto end = event.find('\n');
@@ -38,21 +38,21 @@
 
 } // namespace
 
-std::vector<StreamedEvent> EventSplitter::feed(std::string_view chunk)
+std::vector<ServerSentEvent> EventSplitter::feed(std::string_view chunk)
 {
-    m_rest.append(chunk);
-    std::vector<StreamedEvent> events;
-    std::size_t taken = 0;
+    m_partialEvent.append(chunk);
+    std::vector<ServerSentEvent> events;
+    std::size_t consumed = 0;
     for (;;) {
-        const auto rest = std::string_view(m_rest).substr(taken);
+        const auto rest = std::string_view(m_partialEvent).substr(consumed);
         const auto n = endOfEvent(rest);
         if (n == std::string_view::npos)
             break;
         const auto event = rest.substr(0, n);
-        events.push_back({ std::string(event), idOf(event) });
-        taken += n;
+        events.push_back({ std::string(event), parseEventId(event) });
+        consumed += n;
     }
-    m_rest.erase(0, taken);
+    m_partialEvent.erase(0, consumed);
     return events;
 }
 
--- a/src/foxtailwheel/serving/EventStreamTest.cpp
+++ b/src/foxtailwheel/serving/EventStreamTest.cpp
@@ -17,7 +17,7 @@
         cr_assert_eq(*events[1].id, 2);
         cr_assert_eq(*events[2].id, 7);
         cr_assert_eq(events[0].bytes + events[1].bytes + events[2].bytes, body);
-        cr_assert(!splitter.midEvent());
+        cr_assert(!splitter.hasPartialEvent());
     }
 }
 
@@ -25,7 +25,7 @@
 {
     EventSplitter splitter;
     cr_assert_eq(splitter.feed("id: 1\ndata: a\n\nid: 2\ndata: b\n").size(), 1);
-    cr_assert(splitter.midEvent());
+    cr_assert(splitter.hasPartialEvent());
 }
 
 Test(EventSplitter, anIdThatIsNoNumberIsNone)
--- a/src/foxtailwheel/serving/ForwardNames.cpp
+++ b/src/foxtailwheel/serving/ForwardNames.cpp
@@ -2,12 +2,12 @@
 
 namespace foxtailwheel::serving {
 
-std::string logNumber(double n)
+std::string formatInteger(double n)
 {
     return std::to_string(static_cast<long>(n));
 }
 
-unsigned statusOf(ForwardEnd end)
+unsigned httpStatus(ForwardEnd end)
 {
     switch (end) {
     case ForwardEnd::NoRoute:
--- a/src/foxtailwheel/serving/ForwardRequests.cpp
+++ b/src/foxtailwheel/serving/ForwardRequests.cpp
@@ -11,20 +11,20 @@
     using namespace std::chrono_literals;
 
     /// Hint for callers of an instance that has no configuration or no current credentials.
-    constexpr Duration instanceRetryAfter = 300ms;
+    constexpr Duration notReadyRetryAfter = 300ms;
     /// Part of its time within which a late request must be foreseen to be made: others still come and go first.
-    constexpr double surelyMadeShare = 0.7;
+    constexpr double safeCompletionShare = 0.7;
     /// Least hint for callers that are refused under load: about the time of one batch call.
-    constexpr Duration leastRetryAfter = 300ms;
+    constexpr Duration minRetryAfter = 300ms;
     /// Hint for callers that no server could take.
-    constexpr Duration serverRetryAfter = 500ms;
+    constexpr Duration noServerRetryAfter = 500ms;
     /// Callers differ in their patience by less than this; one that has less of the longest time has asked before.
     constexpr double firstAttemptShare = 0.8;
     /// The longest time of a route's callers is measured anew after this while.
-    constexpr Duration callerTimeMemory = 10s;
+    constexpr Duration callerTimeoutRetention = 10s;
 
     /// Weighted rendezvous hashing: a zone wins a share of all affinities in proportion to its weight.
-    std::optional<AvailabilityZoneId> drawZone(
+    std::optional<AvailabilityZoneId> pickZone(
         const std::map<AvailabilityZoneId, double>& weights, std::uint64_t affinity)
     {
         std::optional<AvailabilityZoneId> best;
@@ -42,19 +42,19 @@
 
 } // namespace
 
-ForwardRun* RoutingForwarder::find(ForwardId id)
+ForwardRun* RoutingForwarder::findRun(ForwardId id)
 {
     const auto it = m_runs.find(id);
     return it == m_runs.end() ? nullptr : it->second.get();
 }
 
-ForwardRun* RoutingForwarder::ownerOf(CallId call)
+ForwardRun* RoutingForwarder::findRunOfCall(CallId call)
 {
     const auto it = m_calls.find(call);
-    return it == m_calls.end() ? nullptr : find(it->second);
+    return it == m_calls.end() ? nullptr : findRun(it->second);
 }
 
-void RoutingForwarder::note(
+void RoutingForwarder::logDecision(
     const ForwardRun& run, std::string_view event, std::vector<std::pair<std::string_view, std::string>> fields) const
 {
     if (m_options.note)
@@ -66,7 +66,7 @@
 {
     if (run.route->isPublic || !m_table->needsCredentials)
         return std::nullopt;
-    if (now - m_confirmedAt > m_options.credentialLife)
+    if (now - m_credentialsConfirmedAt > m_options.credentialLife)
         return ForwardEnd::CredentialsOutdated;
     const auto it = m_table->credentials.find(run.request.credential);
     if (run.request.credential.empty() || it == m_table->credentials.end())
@@ -76,16 +76,16 @@
     return std::nullopt;
 }
 
-ServiceId RoutingForwarder::drawService(const ForwardRun& run)
+ServiceId RoutingForwarder::pickService(const ForwardRun& run)
 {
     const auto& targets = run.route->targets;
     double all = 0;
     for (const auto& it : targets)
         all += it.weight;
-    double drawn = m_random.uniform() * all;
+    double remainingWeight = m_random.uniform() * all;
     for (const auto& it : targets) {
-        drawn -= it.weight;
-        if (drawn < 0)
+        remainingWeight -= it.weight;
+        if (remainingWeight < 0)
             return it.service;
     }
     return targets.back().service;
@@ -105,7 +105,7 @@
         return;
     }
     if (!m_table) {
-        refuse(run, ForwardEnd::NoConfiguration, instanceRetryAfter, now, out);
+        refuse(run, ForwardEnd::NoConfiguration, notReadyRetryAfter, now, out);
         return;
     }
     run.route = m_table->findRoute(run.request.host, run.request.message.path());
@@ -115,7 +115,7 @@
     }
     run.priority = run.route->priority;
     if (const auto end = authorize(run, now)) {
-        refuse(run, *end, *end == ForwardEnd::CredentialsOutdated ? instanceRetryAfter : Duration {}, now, out);
+        refuse(run, *end, *end == ForwardEnd::CredentialsOutdated ? notReadyRetryAfter : Duration {}, now, out);
         return;
     }
     start(run, now, out);
@@ -125,9 +125,9 @@
 {
     const auto& route = *run.route;
     run.deadline = now + std::min(route.timeLimit, run.request.timeLeft.value_or(route.timeLimit));
-    run.service = drawService(run);
-    run.begunAt = now - spentBefore(run, now);
-    run.lastEvent = run.request.lastEventId;
+    run.service = pickService(run);
+    run.firstAttemptAt = now - timeSpentOnEarlierAttempts(run, now);
+    run.lastEventId = run.request.lastEventId;
     run.stages.resize(route.stages.size());
     for (StageIndex i = 0; i < run.stages.size(); ++i) {
         const auto n = i < run.request.pieces.size() ? run.request.pieces[i] : 0;
@@ -136,34 +136,34 @@
     }
     setTimer(run.deadline, { TimerKind::Deadline, run.id, {}, {} });
     chooseZone(run);
-    if (const auto retryAfter = overloaded(run, now); m_options.earlyRefusal && retryAfter) {
-        note(run, "overload_foreseen",
-            { { "goal_left_ms", logNumber(toMilliseconds(run.begunAt + route.goal - now)) },
-                { "timely_ms", logNumber(toMilliseconds(expectedTime(run, false, now))) },
-                { "late_ms", logNumber(toMilliseconds(expectedTime(run, true, now))) },
-                { "time_left_ms", logNumber(toMilliseconds(run.timeLeft(now))) } });
+    if (const auto retryAfter = retryAfterOverload(run, now); m_options.admissionControl && retryAfter) {
+        logDecision(run, "overload_foreseen",
+            { { "goal_left_ms", formatInteger(toMilliseconds(run.firstAttemptAt + route.goal - now)) },
+                { "timely_ms", formatInteger(toMilliseconds(expectedTime(run, false, now))) },
+                { "late_ms", formatInteger(toMilliseconds(expectedTime(run, true, now))) },
+                { "time_left_ms", formatInteger(toMilliseconds(run.remainingTime(now))) } });
         refuse(run, ForwardEnd::Overloaded, *retryAfter, now, out);
         return;
     }
-    note(run, "request_accepted",
+    logDecision(run, "request_accepted",
         { { "route", route.name }, { "version", std::to_string(run.table->version) },
             { "service", run.service.value() }, { "account", run.account.value() },
-            { "time_left_ms", logNumber(toMilliseconds(run.timeLeft(now))) },
-            { "credentials_age_ms", logNumber(toMilliseconds(now - m_confirmedAt)) } });
+            { "time_left_ms", formatInteger(toMilliseconds(run.remainingTime(now))) },
+            { "credentials_age_ms", formatInteger(toMilliseconds(now - m_credentialsConfirmedAt)) } });
     startStages(run, now, out);
 }
 
 /// Time that the caller has spent on earlier attempts: callers of a route begin with the same time, so one that has
 /// less of it has asked before.
-Duration RoutingForwarder::spentBefore(const ForwardRun& run, TimePoint now)
+Duration RoutingForwarder::timeSpentOnEarlierAttempts(const ForwardRun& run, TimePoint now)
 {
     if (!run.request.timeLeft)
         return {};
-    auto& longest = m_callerTimes[run.route->name];
+    auto& longest = m_callerTimeouts[run.route->name];
     const auto left = *run.request.timeLeft;
-    if (left >= longest.time || now > longest.until)
-        longest = { left, now + callerTimeMemory };
-    return toSeconds(left) > toSeconds(longest.time) * firstAttemptShare ? Duration {} : longest.time - left;
+    if (left >= longest.timeout || now > longest.expiresAt)
+        longest = { left, now + callerTimeoutRetention };
+    return toSeconds(left) > toSeconds(longest.timeout) * firstAttemptShare ? Duration {} : longest.timeout - left;
 }
 
 /// Results are made where the request will run, since moving them between zones costs. The zones get requests in
@@ -176,7 +176,7 @@
     std::vector<ServiceId> stages;
     for (const auto& it : run.route->stages)
         stages.push_back(it.service);
-    run.homeZone = drawZone(m_directory.zoneShares(stages, run.service), *affinity);
+    run.homeZone = pickZone(m_directory.zoneShares(stages, run.service), *affinity);
 }
 
 /// Time until the answer begins, along the longest way through the stages, as the queues stand.
@@ -198,39 +198,39 @@
 /// Whether a request would wait in vain: it cannot meet its goal, and what cannot is not made in its time. Such a
 /// request is told so at once, before anything is made for it.
 /// @return When to come back.
-std::optional<Duration> RoutingForwarder::overloaded(const ForwardRun& run, TimePoint now) const
+std::optional<Duration> RoutingForwarder::retryAfterOverload(const ForwardRun& run, TimePoint now) const
 {
-    const auto goalLeft = run.begunAt + run.route->goal - now;
+    const auto remainingToTarget = run.firstAttemptAt + run.route->goal - now;
     const auto stages = expectedTime(run, false, now);
-    if (stages == Duration {} || stages + answerTime(run) <= goalLeft)
+    if (stages == Duration {} || stages + usualTimeToFirstByte(run) <= remainingToTarget)
         return std::nullopt;
-    const auto left = run.timeLeft(now);
+    const auto left = run.remainingTime(now);
     const auto expected = expectedTime(run, true, now);
-    if (expected <= fromSeconds(toSeconds(left) * surelyMadeShare))
+    if (expected <= fromSeconds(toSeconds(left) * safeCompletionShare))
         return std::nullopt;
-    return std::clamp<Duration>(expected - left, leastRetryAfter, std::max<Duration>(left / 3, leastRetryAfter));
+    return std::clamp<Duration>(expected - left, minRetryAfter, std::max<Duration>(left / 3, minRetryAfter));
 }
 
 void RoutingForwarder::onCallerLeft(ForwardId id, TimePoint now, ForwardActions& out)
 {
-    auto* run = find(id);
+    auto* run = findRun(id);
     if (run == nullptr)
         return;
-    note(*run, "caller_left", { { "after_ms", logNumber(toMilliseconds(now - run->acceptedAt)) } });
-    close(*run, now, out);
+    logDecision(*run, "caller_left", { { "after_ms", formatInteger(toMilliseconds(now - run->acceptedAt)) } });
+    closeRun(*run, now, out);
 }
 
 void RoutingForwarder::refuse(ForwardRun& run, ForwardEnd end, Duration retryAfter, TimePoint now, ForwardActions& out)
 {
-    note(run, "request_refused",
-        { { "reason", std::string(toString(end)) }, { "after_ms", logNumber(toMilliseconds(now - run.acceptedAt)) },
+    logDecision(run, "request_refused",
+        { { "reason", std::string(toString(end)) }, { "after_ms", formatInteger(toMilliseconds(now - run.acceptedAt)) },
             { "version", std::to_string(m_table ? m_table->version : 0) },
-            { "credentials_age_ms", logNumber(toMilliseconds(now - m_confirmedAt)) },
-            { "retry_after_ms", logNumber(toMilliseconds(retryAfter)) } });
-    http::Response response { statusOf(end), { { "Content-Type", "application/json" } }, {} };
+            { "credentials_age_ms", formatInteger(toMilliseconds(now - m_credentialsConfirmedAt)) },
+            { "retry_after_ms", formatInteger(toMilliseconds(retryAfter)) } });
+    http::Response response { httpStatus(end), { { "Content-Type", "application/json" } }, {} };
     response.body = "{\"reason\":\"" + std::string(toString(end)) + "\"}";
     out.emplace_back(ReplyWhole { run.id, std::move(response), end, retryAfter });
-    close(run, now, out);
+    closeRun(run, now, out);
 }
 
 void RoutingForwarder::fail(ForwardRun& run, ForwardEnd end, TimePoint now, ForwardActions& out)
@@ -238,20 +238,20 @@
     if (run.headSent)
         finishStream(run, ForwardEnd::StreamBroken, now, out);
     else
-        refuse(run, end, statusOf(end) == 503 ? serverRetryAfter : Duration {}, now, out);
+        refuse(run, end, httpStatus(end) == 503 ? noServerRetryAfter : Duration {}, now, out);
 }
 
 void RoutingForwarder::finishStream(ForwardRun& run, ForwardEnd end, TimePoint now, ForwardActions& out)
 {
-    note(run, "stream_ended",
-        { { "end", std::string(toString(end)) }, { "last_event", std::to_string(run.lastEvent.value_or(0)) },
-            { "after_ms", logNumber(toMilliseconds(now - run.acceptedAt)) } });
+    logDecision(run, "stream_ended",
+        { { "end", std::string(toString(end)) }, { "last_event", std::to_string(run.lastEventId.value_or(0)) },
+            { "after_ms", formatInteger(toMilliseconds(now - run.acceptedAt)) } });
     out.emplace_back(ReplyEnd { run.id, end });
-    close(run, now, out);
+    closeRun(run, now, out);
 }
 
 /// Forgets the run: its calls are broken off, its pieces dropped, its results released.
-void RoutingForwarder::close(ForwardRun& run, TimePoint now, ForwardActions& out)
+void RoutingForwarder::closeRun(ForwardRun& run, TimePoint now, ForwardActions& out)
 {
     const auto id = run.id;
     while (!run.calls.empty()) {
@@ -260,7 +260,7 @@
             now, out);
     }
     if (run.route != nullptr)
-        forgetStages(run, now, out);
+        cancelStages(run, now, out);
     m_runs.erase(id);
 }
 
--- a/src/foxtailwheel/serving/ForwardRun.cpp
+++ b/src/foxtailwheel/serving/ForwardRun.cpp
@@ -4,21 +4,21 @@
 
 namespace foxtailwheel::serving {
 
-bool ForwardRun::prepared() const
+bool ForwardRun::allStagesDone() const
 {
     return std::all_of(stages.begin(), stages.end(), [](const StageProgress& it) { return it.done(); });
 }
 
 std::vector<std::string> ForwardRun::inputs() const
 {
-    std::vector<bool> followed(stages.size(), false);
+    std::vector<bool> consumed(stages.size(), false);
     for (const auto& it : route->stages) {
         for (const auto needed : it.needs)
-            followed[needed] = true;
+            consumed[needed] = true;
     }
     std::vector<std::string> handles;
     for (StageIndex i = 0; i < stages.size(); ++i) {
-        if (followed[i])
+        if (consumed[i])
             continue;
         for (const auto& it : stages[i].results)
             handles.push_back(it->value);
--- a/src/foxtailwheel/serving/ForwardStages.cpp
+++ b/src/foxtailwheel/serving/ForwardStages.cpp
@@ -9,20 +9,20 @@
     using namespace std::chrono_literals;
 
     /// Groups of pieces that are asked for again after a failure, for each stage.
-    constexpr std::uint32_t mostGroupTries = 3;
+    constexpr std::uint32_t maxGroupRetries = 3;
     /// Times that all stages of a request are made again because a result was gone.
-    constexpr std::uint32_t mostRestarts = 1;
+    constexpr std::uint32_t maxStageRestarts = 1;
     /// Part of a full call that pieces of a busy stage wait before they leave: the mean, since calls end at any time.
-    constexpr double waitShare = 0.5;
+    constexpr double meanWaitShare = 0.5;
 
-    Duration fullCall(const config::BatchLimits& limits)
+    Duration fullCallTime(const config::BatchLimits& limits)
     {
         return limits.callTime + limits.pieceTime * limits.pieces;
     }
 
 } // namespace
 
-Piece RoutingForwarder::pieceOf(const ForwardRun& run, StageIndex stage, std::uint32_t index) const
+Piece RoutingForwarder::makePiece(const ForwardRun& run, StageIndex stage, std::uint32_t index) const
 {
     Piece piece { run.request.name, stage, index, {}, {} };
     for (const auto needed : run.route->stages[stage].needs) {
@@ -51,32 +51,32 @@
             progress = true;
             if (stage.missing > 0)
                 requestPieces(run, i, now, out);
-            if (find(id) == nullptr)
+            if (findRun(id) == nullptr)
                 return;
         }
     }
-    releaseFollowed(run, now, out);
-    if (run.prepared() && run.calls.empty())
+    releaseConsumedResults(run, now, out);
+    if (run.allStagesDone() && run.calls.empty())
         sendRequest(run, now, out);
 }
 
 /// When the results of a stage are wanted: the request's goal less the usual time of what follows.
-TimePoint RoutingForwarder::goalOf(const ForwardRun& run, StageIndex stage) const
+TimePoint RoutingForwarder::stageTargetTime(const ForwardRun& run, StageIndex stage) const
 {
-    Duration after = answerTime(run);
+    Duration after = usualTimeToFirstByte(run);
     std::vector<bool> follows(run.stages.size(), false);
     for (StageIndex i = stage + 1; i < run.stages.size(); ++i) {
         const auto& needs = run.route->stages[i].needs;
         follows[i] = std::any_of(needs.begin(), needs.end(), [&](StageIndex it) { return it == stage || follows[it]; });
         const auto* service = run.table->findService(run.route->stages[i].service);
         if (follows[i] && service != nullptr && service->batch)
-            after += fromSeconds(toSeconds(fullCall(*service->batch)) * (1 + waitShare));
+            after += fromSeconds(toSeconds(fullCallTime(*service->batch)) * (1 + meanWaitShare));
     }
-    return run.begunAt + run.route->goal - after;
+    return run.firstAttemptAt + run.route->goal - after;
 }
 
 /// Stages with pieces that are still to come, this one included; each may wait for its part of the time to spare.
-long RoutingForwarder::stagesFrom(const ForwardRun& run, StageIndex stage)
+long RoutingForwarder::countRemainingStages(const ForwardRun& run, StageIndex stage)
 {
     return 1
         + std::count_if(run.stages.begin() + static_cast<std::ptrdiff_t>(stage) + 1, run.stages.end(),
@@ -85,7 +85,7 @@
 
 /// Where the pieces of a stage should be made, so that the least crosses zones: each piece takes all results of the
 /// stages before, and its own result goes to where the request runs. Pieces of other stages go where there is a server.
-std::optional<AvailabilityZoneId> RoutingForwarder::zoneOf(const ForwardRun& run, StageIndex stage)
+std::optional<AvailabilityZoneId> RoutingForwarder::preferredZoneOf(const ForwardRun& run, StageIndex stage)
 {
     const auto& declared = run.route->stages[stage];
     std::map<AvailabilityZoneId, std::uint64_t> inputs;
@@ -98,22 +98,22 @@
     if (most != inputs.end() && most->second >= declared.resultBytes)
         return most->first;
     const auto& stages = run.route->stages;
-    const bool followed = std::any_of(stages.begin(), stages.end(), [stage](const config::RouteStage& it) {
+    const bool consumed = std::any_of(stages.begin(), stages.end(), [stage](const config::RouteStage& it) {
         return std::find(it.needs.begin(), it.needs.end(), stage) != it.needs.end();
     });
-    return followed ? std::nullopt : run.homeZone;
+    return consumed ? std::nullopt : run.homeZone;
 }
 
 /// The pieces of a stage that have no result yet.
-PieceGroup RoutingForwarder::groupOf(const ForwardRun& run, StageIndex stage, TimePoint now) const
+PieceGroup RoutingForwarder::makeGroup(const ForwardRun& run, StageIndex stage, TimePoint now) const
 {
     const auto& progress = run.stages[stage];
-    const auto goal = goalOf(run, stage);
-    PieceGroup group { progress.group, {}, run.priority, goal, run.deadline, zoneOf(run, stage),
-        now + (goal - now) / stagesFrom(run, stage), run.route->stages[stage].resultBytes };
+    const auto goal = stageTargetTime(run, stage);
+    PieceGroup group { progress.group, {}, run.priority, goal, run.deadline, preferredZoneOf(run, stage),
+        now + (goal - now) / countRemainingStages(run, stage), run.route->stages[stage].resultBytes };
     for (std::uint32_t i = 0; i < progress.results.size(); ++i) {
         if (!progress.results[i])
-            group.pieces.push_back(pieceOf(run, stage, i));
+            group.pieces.push_back(makePiece(run, stage, i));
     }
     return group;
 }
@@ -121,28 +121,28 @@
 void RoutingForwarder::requestPieces(ForwardRun& run, StageIndex stage, TimePoint now, ForwardActions& out)
 {
     const auto& service = run.route->stages[stage].service;
-    if (queueOf(service) == nullptr) {
+    if (findQueue(service) == nullptr) {
         fail(run, ForwardEnd::StageFailed, now, out);
         return;
     }
     auto& progress = run.stages[stage];
-    progress.group = PieceGroupId(++m_lastGroup);
+    progress.group = PieceGroupId(++m_lastGroupId);
     m_groups[progress.group] = { run.id, stage };
-    auto group = groupOf(run, stage, now);
-    note(run, "pieces_asked",
+    auto group = makeGroup(run, stage, now);
+    logDecision(run, "pieces_asked",
         { { "stage", std::to_string(stage) }, { "service", service.value() },
             { "owner", m_broker.ownerOf(service, now).value() }, { "pieces", std::to_string(group.pieces.size()) },
-            { "goal_ms", logNumber(toMilliseconds(group.goal - now)) },
+            { "goal_ms", formatInteger(toMilliseconds(group.goal - now)) },
             { "expected_ms",
-                logNumber(
+                formatInteger(
                     toMilliseconds(m_broker.expectedWait(service, run.priority, false, group.pieces.size(), now))) } });
     BrokerActions actions;
     m_broker.ask(service, std::move(group), now, actions);
-    carry(std::move(actions), now, out);
+    applyBrokerActions(std::move(actions), now, out);
 }
 
 /// Passes on what the broker decided.
-void RoutingForwarder::carry(BrokerActions actions, TimePoint now, ForwardActions& out)
+void RoutingForwarder::applyBrokerActions(BrokerActions actions, TimePoint now, ForwardActions& out)
 {
     for (auto& it : actions) {
         if (auto* send = std::get_if<SendBatch>(&it)) {
@@ -153,24 +153,24 @@
         } else if (auto* release = std::get_if<ReleaseResults>(&it)) {
             out.emplace_back(std::move(*release));
         } else {
-            takePiece(std::get<PieceDone>(it), now, out);
+            onPieceDone(std::get<PieceDone>(it), now, out);
         }
     }
     for (const auto& it : m_directory.services()) {
-        const auto at = it.second.batches ? it.second.batches->nextPump() : std::nullopt;
-        const auto set = m_pumpTimers.find(it.first);
-        if (!at || (set != m_pumpTimers.end() && set->second <= *at))
+        const auto at = it.second.batchQueue ? it.second.batchQueue->nextPump() : std::nullopt;
+        const auto set = m_dispatchTimers.find(it.first);
+        if (!at || (set != m_dispatchTimers.end() && set->second <= *at))
             continue;
-        m_pumpTimers[it.first] = *at;
-        setTimer(std::max(*at, now), { TimerKind::Batches, {}, {}, it.first });
+        m_dispatchTimers[it.first] = *at;
+        setTimer(std::max(*at, now), { TimerKind::Dispatch, {}, {}, it.first });
     }
 }
 
-void RoutingForwarder::takePiece(const PieceDone& piece, TimePoint now, ForwardActions& out)
+void RoutingForwarder::onPieceDone(const PieceDone& piece, TimePoint now, ForwardActions& out)
 {
     const auto* handle = std::get_if<ResultHandle>(&piece.result);
     const auto owner = m_groups.find(piece.group);
-    auto* run = owner == m_groups.end() ? nullptr : find(owner->second.run);
+    auto* run = owner == m_groups.end() ? nullptr : findRun(owner->second.run);
     if (run == nullptr) {
         if (handle != nullptr)
             release({ handle->service, handle->maker, { handle->value } }, now, out);
@@ -179,7 +179,7 @@
     const auto stage = owner->second.stage;
     auto& progress = run->stages[stage];
     if (handle == nullptr) {
-        pieceFailed(*run, stage, piece, std::get<PieceFailure>(piece.result), now, out);
+        onPieceFailed(*run, stage, piece, std::get<PieceFailure>(piece.result), now, out);
         return;
     }
     if (piece.index >= progress.results.size() || progress.results[piece.index]) {
@@ -190,20 +190,20 @@
     progress.results[piece.index] = *handle;
     if (--progress.missing == 0) {
         m_groups.erase(piece.group);
-        note(*run, "stage_done",
+        logDecision(*run, "stage_done",
             { { "stage", std::to_string(stage) }, { "pieces", std::to_string(progress.results.size()) },
-                { "after_ms", logNumber(toMilliseconds(now - run->acceptedAt)) } });
+                { "after_ms", formatInteger(toMilliseconds(now - run->acceptedAt)) } });
         startStages(*run, now, out);
     }
 }
 
-void RoutingForwarder::pieceFailed(
+void RoutingForwarder::onPieceFailed(
     ForwardRun& run, StageIndex stage, const PieceDone& piece, PieceFailure failure, TimePoint now, ForwardActions& out)
 {
     auto& progress = run.stages[stage];
-    note(run, "piece_failed",
+    logDecision(run, "piece_failed",
         { { "stage", std::to_string(stage) }, { "piece", std::to_string(piece.index) },
-            { "reason", std::string(toString(failure)) }, { "tries", std::to_string(progress.tries) } });
+            { "reason", std::string(toString(failure)) }, { "tries", std::to_string(progress.retries) } });
     if (failure == PieceFailure::Late) {
         fail(run, ForwardEnd::TimedOutWaiting, now, out);
         return;
@@ -213,25 +213,25 @@
         return;
     }
     auto* state = m_directory.find(run.route->stages[stage].service);
-    if (++progress.tries > mostGroupTries || !state->budget.take(1, now)) {
+    if (++progress.retries > maxGroupRetries || !state->retryBudget.take(1, now)) {
         fail(run, ForwardEnd::StageFailed, now, out);
         return;
     }
-    auto group = groupOf(run, stage, now);
+    auto group = makeGroup(run, stage, now);
     std::erase_if(group.pieces, [&piece](const Piece& it) { return it.index != piece.index; });
     BrokerActions actions;
     m_broker.ask(run.route->stages[stage].service, std::move(group), now, actions);
-    carry(std::move(actions), now, out);
+    applyBrokerActions(std::move(actions), now, out);
 }
 
 void RoutingForwarder::restartStages(ForwardRun& run, TimePoint now, ForwardActions& out)
 {
-    if (++run.restarts > mostRestarts) {
+    if (++run.stageRestarts > maxStageRestarts) {
         fail(run, ForwardEnd::StageFailed, now, out);
         return;
     }
-    note(run, "stages_restarted", { { "restarts", std::to_string(run.restarts) } });
-    forgetStages(run, now, out);
+    logDecision(run, "stages_restarted", { { "restarts", std::to_string(run.stageRestarts) } });
+    cancelStages(run, now, out);
     for (auto& it : run.stages) {
         it.started = false;
         it.released = false;
@@ -245,7 +245,7 @@
 {
     BrokerActions actions;
     m_broker.release(std::move(results), now, actions);
-    carry(std::move(actions), now, out);
+    applyBrokerActions(std::move(actions), now, out);
 }
 
 void RoutingForwarder::releaseStage(ForwardRun& run, StageIndex stage, TimePoint now, ForwardActions& out)
@@ -267,24 +267,24 @@
 }
 
 /// Releases the results of stages whose followers are all done.
-void RoutingForwarder::releaseFollowed(ForwardRun& run, TimePoint now, ForwardActions& out)
+void RoutingForwarder::releaseConsumedResults(ForwardRun& run, TimePoint now, ForwardActions& out)
 {
     for (StageIndex i = 0; i < run.stages.size(); ++i) {
-        bool followed = false;
+        bool consumed = false;
         bool needed = false;
         for (StageIndex j = 0; j < run.stages.size(); ++j) {
             const auto& needs = run.route->stages[j].needs;
             const bool takes = std::find(needs.begin(), needs.end(), i) != needs.end();
-            followed = followed || takes;
+            consumed = consumed || takes;
             needed = needed || (takes && !run.stages[j].done());
         }
-        if (followed && !needed && run.stages[i].done())
+        if (consumed && !needed && run.stages[i].done())
             releaseStage(run, i, now, out);
     }
 }
 
 /// Drops what still waits for the run and releases the results it has.
-void RoutingForwarder::forgetStages(ForwardRun& run, TimePoint now, ForwardActions& out)
+void RoutingForwarder::cancelStages(ForwardRun& run, TimePoint now, ForwardActions& out)
 {
     for (StageIndex i = 0; i < run.stages.size(); ++i) {
         auto& stage = run.stages[i];
--- a/src/foxtailwheel/serving/Forwarder.cpp
+++ b/src/foxtailwheel/serving/Forwarder.cpp
@@ -9,11 +9,11 @@
     using namespace std::chrono_literals;
 
     /// Longest wait for a usable server before the request is refused.
-    constexpr Duration serverWait = 300ms;
+    constexpr Duration serverWaitTimeout = 300ms;
     /// Pause between looks for a usable server.
-    constexpr Duration serverRetryPause = 25ms;
+    constexpr Duration serverRetryInterval = 25ms;
     /// Pause within a resumable stream after which it is moved; callers leave after two seconds.
-    constexpr Duration streamSilence = 1100ms;
+    constexpr Duration streamSilenceTimeout = 1100ms;
 
 } // namespace
 
@@ -23,66 +23,67 @@
         return false;
     m_table = std::move(table);
     m_directory.configure(*m_table);
-    shareQueues(now);
-    pumpAll(now, out);
+    updateQueueShares(now);
+    dispatchAll(now, out);
     return true;
 }
 
 void RoutingForwarder::setServers(const std::vector<AnnouncedServer>& servers, TimePoint now, ForwardActions& out)
 {
     m_directory.setServers(servers);
-    pumpAll(now, out);
+    dispatchAll(now, out);
 }
 
-BatchQueue* RoutingForwarder::queueOf(const ServiceId& id)
+BatchQueue* RoutingForwarder::findQueue(const ServiceId& id)
 {
     auto* state = m_directory.find(id);
-    return state == nullptr ? nullptr : state->batches.get();
+    return state == nullptr ? nullptr : state->batchQueue.get();
 }
 
-void RoutingForwarder::pumpAll(TimePoint now, ForwardActions& out)
+void RoutingForwarder::dispatchAll(TimePoint now, ForwardActions& out)
 {
     BrokerActions actions;
     for (const auto& it : m_directory.services())
         m_broker.pump(it.first, now, actions);
-    carry(std::move(actions), now, out);
+    applyBrokerActions(std::move(actions), now, out);
 }
 
 /// The owner of a service fills all of its servers; others, which only stand in for it, their part.
-void RoutingForwarder::shareQueues(TimePoint now)
+void RoutingForwarder::updateQueueShares(TimePoint now)
 {
     for (auto& it : m_directory.services()) {
-        if (it.second.batches)
-            it.second.batches->setShare(m_broker.gathers(it.first, now) ? 1 : 1.0 / static_cast<double>(m_instances));
+        if (it.second.batchQueue)
+            it.second.batchQueue->setShare(
+                m_broker.gathers(it.first, now) ? 1 : 1.0 / static_cast<double>(m_instanceCount));
     }
 }
 
 void RoutingForwarder::setMembers(const std::vector<InstanceId>& live, const std::vector<InstanceId>& owners,
-    const std::set<InstanceId>& gone, TimePoint now, ForwardActions& out)
+    const std::set<InstanceId>& removed, TimePoint now, ForwardActions& out)
 {
-    m_instances = std::max<std::size_t>(1, live.size());
-    m_directory.setInstances(m_instances);
+    m_instanceCount = std::max<std::size_t>(1, live.size());
+    m_directory.setInstanceCount(m_instanceCount);
     BrokerActions actions;
-    m_broker.setMembers(m_options.batchAcrossInstances ? owners : std::vector<InstanceId>(), gone, now, actions);
-    shareQueues(now);
-    carry(std::move(actions), now, out);
+    m_broker.setMembers(m_options.batchAcrossInstances ? owners : std::vector<InstanceId>(), removed, now, actions);
+    updateQueueShares(now);
+    applyBrokerActions(std::move(actions), now, out);
 }
 
 void RoutingForwarder::onPeer(const InstanceId& from, const PieceMessage& message, TimePoint now, ForwardActions& out)
 {
     BrokerActions actions;
     if (std::holds_alternative<PiecesAsked>(message))
-        shareQueues(now);
+        updateQueueShares(now);
     m_broker.onMessage(from, message, now, actions);
-    carry(std::move(actions), now, out);
+    applyBrokerActions(std::move(actions), now, out);
 }
 
 void RoutingForwarder::onPeerLost(const InstanceId& instance, TimePoint now, ForwardActions& out)
 {
     BrokerActions actions;
     m_broker.onLost(instance, now, actions);
-    shareQueues(now);
-    carry(std::move(actions), now, out);
+    updateQueueShares(now);
+    applyBrokerActions(std::move(actions), now, out);
 }
 
 ForwarderStatus RoutingForwarder::status(TimePoint now) const
@@ -91,7 +92,7 @@
     status.version = m_table ? m_table->version : 0;
     status.requests = m_runs.size();
     status.credentialsCurrent
-        = m_table && (!m_table->needsCredentials || now - m_confirmedAt <= m_options.credentialLife);
+        = m_table && (!m_table->needsCredentials || now - m_credentialsConfirmedAt <= m_options.credentialLife);
     return status;
 }
 
@@ -105,12 +106,12 @@
     m_batchCalls.erase(it);
     BrokerActions actions;
     m_broker.onBatchEnd(service, call, end, results, now, actions);
-    carry(std::move(actions), now, out);
+    applyBrokerActions(std::move(actions), now, out);
 }
 
 void RoutingForwarder::onLoad(CallId call, const ToldLoad& load, TimePoint now)
 {
-    auto* run = ownerOf(call);
+    auto* run = findRunOfCall(call);
     if (run == nullptr)
         return;
     const auto* open = run->findCall(call);
@@ -127,19 +128,19 @@
     }
     BrokerActions actions;
     m_broker.onTime(now, actions);
-    carry(std::move(actions), now, out);
+    applyBrokerActions(std::move(actions), now, out);
 }
 
 void RoutingForwarder::onTimer(const Timer& timer, TimePoint now, ForwardActions& out)
 {
-    if (timer.kind == TimerKind::Batches) {
-        m_pumpTimers.erase(timer.service);
+    if (timer.kind == TimerKind::Dispatch) {
+        m_dispatchTimers.erase(timer.service);
         BrokerActions actions;
         m_broker.pump(timer.service, now, actions);
-        carry(std::move(actions), now, out);
+        applyBrokerActions(std::move(actions), now, out);
         return;
     }
-    auto* run = find(timer.run);
+    auto* run = findRun(timer.run);
     if (run == nullptr)
         return;
     const auto* call = run->findCall(timer.call);
@@ -149,32 +150,32 @@
         onDeadline(*run, now, out);
         return;
     case TimerKind::FindServer:
-        if (!run->calls.empty() || !run->prepared())
+        if (!run->calls.empty() || !run->allStagesDone())
             return;
-        if (sendTo(*run, !run->tried.empty(), now, out))
+        if (trySend(*run, !run->triedServers.empty(), now, out))
             return;
-        if (now - run->acceptedAt > std::max(serverWait, run->route->goal))
+        if (now - run->acceptedAt > std::max(serverWaitTimeout, run->route->goal))
             fail(*run, run->mayHaveRun ? ForwardEnd::BackendFailed : ForwardEnd::NoServer, now, out);
         else
-            setTimer(now + serverRetryPause, timer);
+            setTimer(now + serverRetryInterval, timer);
         return;
-    case TimerKind::SecondAttempt:
-        if (call == nullptr || call->headSeen || run->started >= run->route->maxServers)
+    case TimerKind::Hedge:
+        if (call == nullptr || call->headReceived || run->possibleExecutions >= run->route->maxServers)
             return;
         if (run->route->streams)
-            moveStream(*run, now, out);
-        else if (run->calls.size() == 1 && state->budget.take(1, now))
-            sendTo(*run, true, now, out);
+            failOverStream(*run, now, out);
+        else if (run->calls.size() == 1 && state->retryBudget.take(1, now))
+            trySend(*run, true, now, out);
         return;
-    case TimerKind::Silence:
-        if (call == nullptr || run->started >= run->route->maxServers)
+    case TimerKind::StreamSilence:
+        if (call == nullptr || run->possibleExecutions >= run->route->maxServers)
             return;
-        if (now - run->lastBytesAt >= streamSilence)
-            moveStream(*run, now, out);
+        if (now - run->lastDataAt >= streamSilenceTimeout)
+            failOverStream(*run, now, out);
         else
-            setTimer(run->lastBytesAt + streamSilence, timer);
+            setTimer(run->lastDataAt + streamSilenceTimeout, timer);
         return;
-    case TimerKind::Batches:
+    case TimerKind::Dispatch:
         return;
     }
 }
--- a/src/foxtailwheel/serving/ForwarderTest.cpp
+++ b/src/foxtailwheel/serving/ForwarderTest.cpp
@@ -51,38 +51,38 @@
     return { { BackendServerId(id), "127.0.0.1", ++port, AvailabilityZoneId(zone) }, ServiceId(service), false, 6 };
 }
 
-struct World {
-    World()
+struct ForwarderFixture {
+    ForwarderFixture()
     {
         ForwarderOptions options;
         options.pools.self = InstanceId("i");
         options.pools.zone = AvailabilityZoneId("a");
         forwarder = Forwarder::create(options);
-        run([&](auto& out) { forwarder->configure(table(), start, out); });
+        collectActions([&](auto& out) { forwarder->configure(table(), start, out); });
         forwarder->confirmCredentials(start);
         servers = { server("d1", "desk"), server("d2", "desk"), server("m1", "model"), server("m2", "model"),
             server("p1", "portal"), server("b1", "bill") };
-        run([&](auto& out) { forwarder->setServers(servers, start, out); });
+        collectActions([&](auto& out) { forwarder->setServers(servers, start, out); });
     }
 
-    ForwardId submit(const std::string& name, TimePoint now = start, Duration left = 8s)
+    ForwardId submit(const std::string& name, TimePoint now = start, Duration remaining = 8s)
     {
         ForwardRequest request;
-        request.name = "r" + std::to_string(++asked);
+        request.name = "r" + std::to_string(++requestCount);
         request.host = "h.example";
         request.message = { "POST", "/" + name + "/x", {}, "body" };
         request.credential = credential;
-        request.timeLeft = left;
+        request.timeLeft = remaining;
         request.pieces = pieces;
         request.pieceKey = "k";
         const auto id = forwarder->newRequest();
-        run([&](auto& out) { forwarder->submit(id, std::move(request), now, out); });
+        collectActions([&](auto& out) { forwarder->submit(id, std::move(request), now, out); });
         return id;
     }
 
     void end(CallId call, ForwardCallEnd end, TimePoint now, unsigned status = 200)
     {
-        run([&](auto& out) { forwarder->onEnd(call, end, { status, {}, "answer" }, now, out); });
+        collectActions([&](auto& out) { forwarder->onEnd(call, end, { status, {}, "answer" }, now, out); });
     }
 
     void endBatch(const SendBatch& batch, TimePoint now)
@@ -92,18 +92,18 @@
             results.emplace_back(
                 ResultHandle { batch.service.value() + "/" + std::to_string(it.index) + "/" + std::to_string(++handles),
                     batch.server });
-        run([&](auto& out) { forwarder->onBatchEnd(batch.call, BatchEnd::Answered, results, now, out); });
+        collectActions([&](auto& out) { forwarder->onBatchEnd(batch.call, BatchEnd::Answered, results, now, out); });
     }
 
-    void time(TimePoint now)
+    void runTimers(TimePoint now)
     {
-        run([&](auto& out) { forwarder->onTime(now, out); });
+        collectActions([&](auto& out) { forwarder->onTime(now, out); });
     }
 
-    template <class Work> void run(Work work)
+    template <class Function> void collectActions(Function function)
     {
         ForwardActions actions;
-        work(actions);
+        function(actions);
         for (auto& it : actions) {
             if (auto* send = std::get_if<SendForward>(&it))
                 sent.push_back(*send);
@@ -126,7 +126,7 @@
     std::vector<AnnouncedServer> servers;
     std::string credential = "key";
     std::vector<std::uint32_t> pieces;
-    std::size_t asked = 0;
+    std::size_t requestCount = 0;
     std::size_t handles = 0;
     std::vector<SendForward> sent;
     std::vector<CallId> stopped;
@@ -141,29 +141,29 @@
 
 Test(Forwarder, anAnswerIsPassedOnAsItIs)
 {
-    World world;
-    world.submit("book");
-    cr_assert_eq(world.sent.size(), 1);
-    cr_assert_eq(world.sent[0].message.body, "body");
-    cr_assert_eq(world.sent[0].account.value(), "account");
-    world.end(world.sent[0].call, ForwardCallEnd::Complete, start + 20ms, 500);
-    cr_assert_eq(world.replies.size(), 1);
-    cr_assert_eq(world.replies[0].response.status, 500);
-    cr_assert_eq(world.replies[0].response.body, "answer");
+    ForwarderFixture fixture;
+    fixture.submit("book");
+    cr_assert_eq(fixture.sent.size(), 1);
+    cr_assert_eq(fixture.sent[0].message.body, "body");
+    cr_assert_eq(fixture.sent[0].account.value(), "account");
+    fixture.end(fixture.sent[0].call, ForwardCallEnd::Complete, start + 20ms, 500);
+    cr_assert_eq(fixture.replies.size(), 1);
+    cr_assert_eq(fixture.replies[0].response.status, 500);
+    cr_assert_eq(fixture.replies[0].response.body, "answer");
 }
 
 Test(Forwarder, whatMayRunOnceIsNeverSentAgainOnceItMayHaveRun)
 {
     for (const auto end : { ForwardCallEnd::Broken, ForwardCallEnd::TimedOut }) {
         for (const std::string name : { "book", "once" }) {
-            World world;
-            world.submit(name);
-            world.end(world.sent[0].call, end, start + 20ms);
-            world.time(start + 2s);
-            cr_assert_eq(world.sent.size(), 1);
-            cr_assert_eq(world.replies.size(), 1);
-            cr_assert_geq(world.replies[0].response.status, 502);
-            cr_assert_neq(world.replies[0].response.status, 503, "503 would promise that it did not run");
+            ForwarderFixture fixture;
+            fixture.submit(name);
+            fixture.end(fixture.sent[0].call, end, start + 20ms);
+            fixture.runTimers(start + 2s);
+            cr_assert_eq(fixture.sent.size(), 1);
+            cr_assert_eq(fixture.replies.size(), 1);
+            cr_assert_geq(fixture.replies[0].response.status, 502);
+            cr_assert_neq(fixture.replies[0].response.status, 503, "503 would promise that it did not run");
         }
     }
 }
@@ -171,61 +171,61 @@
 Test(Forwarder, whatDidNotRunGoesToAnotherServer)
 {
     for (const auto end : { ForwardCallEnd::NotSent, ForwardCallEnd::Refused, ForwardCallEnd::Misdirected }) {
-        World world;
-        world.submit("book");
-        world.end(world.sent[0].call, end, start + 5ms);
-        cr_assert_eq(world.sent.size(), 2);
-        cr_assert_neq(world.sent[1].server.id, world.sent[0].server.id);
+        ForwarderFixture fixture;
+        fixture.submit("book");
+        fixture.end(fixture.sent[0].call, end, start + 5ms);
+        cr_assert_eq(fixture.sent.size(), 2);
+        cr_assert_neq(fixture.sent[1].server.id, fixture.sent[0].server.id);
     }
 }
 
 Test(Forwarder, aRefusalByAllServersIsARefusalToTheCaller)
 {
-    World world;
-    world.submit("book");
-    for (std::size_t i = 0; i < world.sent.size() && i < 10; ++i)
-        world.end(world.sent[i].call, ForwardCallEnd::Refused, start + 5ms * (i + 1));
-    cr_assert_leq(world.sent.size(), 4);
-    cr_assert_eq(world.replies.at(0).response.status, 503);
-    cr_assert_gt(world.replies[0].retryAfter, Duration {});
+    ForwarderFixture fixture;
+    fixture.submit("book");
+    for (std::size_t i = 0; i < fixture.sent.size() && i < 10; ++i)
+        fixture.end(fixture.sent[i].call, ForwardCallEnd::Refused, start + 5ms * (i + 1));
+    cr_assert_leq(fixture.sent.size(), 4);
+    cr_assert_eq(fixture.replies.at(0).response.status, 503);
+    cr_assert_gt(fixture.replies[0].retryAfter, Duration {});
 }
 
 Test(Forwarder, aBrokenIdempotentCallGoesToAnotherServerWithinTheRoutesBound)
 {
-    World world;
-    world.submit("safe");
-    world.end(world.sent[0].call, ForwardCallEnd::Broken, start + 20ms);
-    cr_assert_eq(world.sent.size(), 2);
-    world.end(world.sent[1].call, ForwardCallEnd::Broken, start + 40ms);
-    cr_assert_eq(world.sent.size(), 2);
-    cr_assert_eq(world.replies.at(0).response.status, 502);
+    ForwarderFixture fixture;
+    fixture.submit("safe");
+    fixture.end(fixture.sent[0].call, ForwardCallEnd::Broken, start + 20ms);
+    cr_assert_eq(fixture.sent.size(), 2);
+    fixture.end(fixture.sent[1].call, ForwardCallEnd::Broken, start + 40ms);
+    cr_assert_eq(fixture.sent.size(), 2);
+    cr_assert_eq(fixture.replies.at(0).response.status, 502);
 }
 
 Test(Forwarder, aSilentSafeCallIsAskedForAtASecondServerAndTheFirstAnswerCounts)
 {
-    World world;
-    world.submit("safe");
-    world.time(start + 500ms);
-    cr_assert_eq(world.sent.size(), 2);
-    world.end(world.sent[1].call, ForwardCallEnd::Complete, start + 520ms);
-    cr_assert_eq(world.replies.size(), 1);
-    cr_assert_eq(world.stopped.size(), 1);
-    cr_assert_eq(world.stopped[0], world.sent[0].call);
+    ForwarderFixture fixture;
+    fixture.submit("safe");
+    fixture.runTimers(start + 500ms);
+    cr_assert_eq(fixture.sent.size(), 2);
+    fixture.end(fixture.sent[1].call, ForwardCallEnd::Complete, start + 520ms);
+    cr_assert_eq(fixture.replies.size(), 1);
+    cr_assert_eq(fixture.stopped.size(), 1);
+    cr_assert_eq(fixture.stopped[0], fixture.sent[0].call);
 }
 
 Test(Forwarder, withoutARecentConfirmationCredentialsAreNeitherTakenNorDenied)
 {
-    World world;
-    world.submit("book", start + 4400ms);
-    cr_assert_eq(world.sent.size(), 1);
-    world.submit("book", start + 4600ms);
-    cr_assert_eq(world.sent.size(), 1);
-    cr_assert_eq(world.replies.at(0).response.status, 503);
-    world.credential = "wrong";
-    world.submit("book", start + 4700ms);
-    cr_assert_eq(world.replies.at(1).response.status, 503, "an unknown key may be a new one");
-    world.submit("book", start + 1s);
-    cr_assert_eq(world.replies.at(2).response.status, 401);
+    ForwarderFixture fixture;
+    fixture.submit("book", start + 4400ms);
+    cr_assert_eq(fixture.sent.size(), 1);
+    fixture.submit("book", start + 4600ms);
+    cr_assert_eq(fixture.sent.size(), 1);
+    cr_assert_eq(fixture.replies.at(0).response.status, 503);
+    fixture.credential = "wrong";
+    fixture.submit("book", start + 4700ms);
+    cr_assert_eq(fixture.replies.at(1).response.status, 503, "an unknown key may be a new one");
+    fixture.submit("book", start + 1s);
+    cr_assert_eq(fixture.replies.at(2).response.status, 401);
 }
 
 Test(Forwarder, withoutAConfigurationNothingIsSaidOfRoutes)
@@ -238,201 +238,204 @@
 
 Test(Forwarder, anOlderConfigurationIsIgnored)
 {
-    World world;
+    ForwarderFixture fixture;
     ForwardActions actions;
-    cr_assert(world.forwarder->configure(table(5), start, actions));
-    cr_assert(!world.forwarder->configure(table(4), start, actions));
-    cr_assert_eq(world.forwarder->table()->version, 5);
+    cr_assert(fixture.forwarder->configure(table(5), start, actions));
+    cr_assert(!fixture.forwarder->configure(table(4), start, actions));
+    cr_assert_eq(fixture.forwarder->table()->version, 5);
 }
 
 Test(Forwarder, leavingServersGetNothingNew)
 {
-    World world;
-    world.servers[0].leaving = true;
-    world.run([&](auto& out) { world.forwarder->setServers(world.servers, start, out); });
+    ForwarderFixture fixture;
+    fixture.servers[0].leaving = true;
+    fixture.collectActions([&](auto& out) { fixture.forwarder->setServers(fixture.servers, start, out); });
     for (int i = 0; i < 20; ++i)
-        world.submit("book");
-    cr_assert_eq(world.sent.size(), 20);
-    for (const auto& it : world.sent)
+        fixture.submit("book");
+    cr_assert_eq(fixture.sent.size(), 20);
+    for (const auto& it : fixture.sent)
         cr_assert_eq(it.server.id.value(), "d2");
 }
 
 Test(Forwarder, aBrokenStreamGoesOnFromItsLastWholeEvent)
 {
-    World world;
-    world.submit("plan");
-    const auto first = world.sent.at(0).call;
-    world.run([&](auto& out) { world.forwarder->onHead(first, { 200, {}, {} }, start + 100ms, out); });
-    world.run([&](auto& out) {
-        world.forwarder->onData(first, "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda", start + 110ms, out);
+    ForwarderFixture fixture;
+    fixture.submit("plan");
+    const auto first = fixture.sent.at(0).call;
+    fixture.collectActions([&](auto& out) { fixture.forwarder->onHead(first, { 200, {}, {} }, start + 100ms, out); });
+    fixture.collectActions([&](auto& out) {
+        fixture.forwarder->onData(first, "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda", start + 110ms, out);
     });
-    world.end(first, ForwardCallEnd::Broken, start + 120ms);
-    cr_assert_eq(world.sent.size(), 2);
-    cr_assert_eq(*world.sent[1].lastEventId, 2);
-    const auto second = world.sent[1].call;
-    world.run([&](auto& out) { world.forwarder->onHead(second, { 200, {}, {} }, start + 200ms, out); });
-    world.run([&](auto& out) {
-        world.forwarder->onData(second, "id: 2\ndata: b\n\nid: 3\ndata: c\n\n", start + 210ms, out);
+    fixture.end(first, ForwardCallEnd::Broken, start + 120ms);
+    cr_assert_eq(fixture.sent.size(), 2);
+    cr_assert_eq(*fixture.sent[1].lastEventId, 2);
+    const auto second = fixture.sent[1].call;
+    fixture.collectActions([&](auto& out) { fixture.forwarder->onHead(second, { 200, {}, {} }, start + 200ms, out); });
+    fixture.collectActions([&](auto& out) {
+        fixture.forwarder->onData(second, "id: 2\ndata: b\n\nid: 3\ndata: c\n\n", start + 210ms, out);
     });
-    world.end(second, ForwardCallEnd::Complete, start + 220ms);
-    cr_assert_eq(world.streamed, "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n");
-    cr_assert_eq(world.ends.at(0), ForwardEnd::Answered);
+    fixture.end(second, ForwardCallEnd::Complete, start + 220ms);
+    cr_assert_eq(fixture.streamed, "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n");
+    cr_assert_eq(fixture.ends.at(0), ForwardEnd::Answered);
 }
 
 Test(Forwarder, aStreamThatMayNotBeResumedIsBrokenOffRatherThanJoined)
 {
-    World world;
-    world.submit("once");
-    const auto call = world.sent.at(0).call;
-    world.run([&](auto& out) { world.forwarder->onHead(call, { 200, {}, {} }, start + 100ms, out); });
-    world.run([&](auto& out) { world.forwarder->onData(call, "id: 1\ndata: a\n\n", start + 110ms, out); });
-    world.end(call, ForwardCallEnd::Broken, start + 120ms);
-    cr_assert_eq(world.sent.size(), 1);
-    cr_assert_eq(world.ends.at(0), ForwardEnd::StreamBroken);
+    ForwarderFixture fixture;
+    fixture.submit("once");
+    const auto call = fixture.sent.at(0).call;
+    fixture.collectActions([&](auto& out) { fixture.forwarder->onHead(call, { 200, {}, {} }, start + 100ms, out); });
+    fixture.collectActions(
+        [&](auto& out) { fixture.forwarder->onData(call, "id: 1\ndata: a\n\n", start + 110ms, out); });
+    fixture.end(call, ForwardCallEnd::Broken, start + 120ms);
+    cr_assert_eq(fixture.sent.size(), 1);
+    cr_assert_eq(fixture.ends.at(0), ForwardEnd::StreamBroken);
 }
 
 Test(Forwarder, aStreamThatEndsWithinAnEventIsNotWhole)
 {
-    World world;
-    world.submit("once");
-    const auto call = world.sent.at(0).call;
-    world.run([&](auto& out) { world.forwarder->onHead(call, { 200, {}, {} }, start + 100ms, out); });
-    world.run([&](auto& out) { world.forwarder->onData(call, "id: 1\ndata: a", start + 110ms, out); });
-    world.end(call, ForwardCallEnd::Complete, start + 120ms);
-    cr_assert_eq(world.streamed, "");
-    cr_assert_eq(world.ends.at(0), ForwardEnd::StreamBroken);
+    ForwarderFixture fixture;
+    fixture.submit("once");
+    const auto call = fixture.sent.at(0).call;
+    fixture.collectActions([&](auto& out) { fixture.forwarder->onHead(call, { 200, {}, {} }, start + 100ms, out); });
+    fixture.collectActions([&](auto& out) { fixture.forwarder->onData(call, "id: 1\ndata: a", start + 110ms, out); });
+    fixture.end(call, ForwardCallEnd::Complete, start + 120ms);
+    cr_assert_eq(fixture.streamed, "");
+    cr_assert_eq(fixture.ends.at(0), ForwardEnd::StreamBroken);
 }
 
 Test(Forwarder, aStreamIsMovedOnlyAfterItsSilentCallIsStopped)
 {
-    World world;
-    world.submit("plan");
-    const auto first = world.sent.at(0).call;
-    world.run([&](auto& out) { world.forwarder->onHead(first, { 200, {}, {} }, start + 100ms, out); });
-    world.time(start + 1300ms);
-    cr_assert_eq(world.stopped.at(0), first);
-    cr_assert_eq(world.sent.size(), 2);
+    ForwarderFixture fixture;
+    fixture.submit("plan");
+    const auto first = fixture.sent.at(0).call;
+    fixture.collectActions([&](auto& out) { fixture.forwarder->onHead(first, { 200, {}, {} }, start + 100ms, out); });
+    fixture.runTimers(start + 1300ms);
+    cr_assert_eq(fixture.stopped.at(0), first);
+    cr_assert_eq(fixture.sent.size(), 2);
 }
 
 Test(Forwarder, stagesRunInOrderAndTheRequestTakesTheLastResults)
 {
-    World world;
-    world.pieces = { 2, 3 };
-    world.submit("staged");
-    cr_assert_eq(world.sent.size(), 0);
-    cr_assert_eq(world.batches.at(0).service.value(), "portal");
-    cr_assert_eq(world.batches[0].pieces[0].key, "k");
-    world.endBatch(world.batches[0], start + 234ms);
-    cr_assert_eq(world.batches.at(1).service.value(), "bill");
-    cr_assert_eq(world.batches[1].pieces.size(), 3);
-    cr_assert_eq(world.batches[1].pieces[0].inputs.size(), 2, "each piece takes all results of the stage before");
-    world.endBatch(world.batches[1], start + 500ms);
-    cr_assert_eq(world.sent.size(), 1);
-    cr_assert_eq(world.sent[0].inputs.size(), 3);
-    cr_assert_eq(world.released.size(), 2, "results that no stage needs any more are released");
-    world.run([&](auto& out) { world.forwarder->onHead(world.sent[0].call, { 200, {}, {} }, start + 600ms, out); });
-    cr_assert_eq(world.released.size(), 5, "the first event shows that the inputs were read");
+    ForwarderFixture fixture;
+    fixture.pieces = { 2, 3 };
+    fixture.submit("staged");
+    cr_assert_eq(fixture.sent.size(), 0);
+    cr_assert_eq(fixture.batches.at(0).service.value(), "portal");
+    cr_assert_eq(fixture.batches[0].pieces[0].key, "k");
+    fixture.endBatch(fixture.batches[0], start + 234ms);
+    cr_assert_eq(fixture.batches.at(1).service.value(), "bill");
+    cr_assert_eq(fixture.batches[1].pieces.size(), 3);
+    cr_assert_eq(fixture.batches[1].pieces[0].inputs.size(), 2, "each piece takes all results of the stage before");
+    fixture.endBatch(fixture.batches[1], start + 500ms);
+    cr_assert_eq(fixture.sent.size(), 1);
+    cr_assert_eq(fixture.sent[0].inputs.size(), 3);
+    cr_assert_eq(fixture.released.size(), 2, "results that no stage needs any more are released");
+    fixture.collectActions([&](auto& out) {
+        fixture.forwarder->onHead(fixture.sent[0].call, { 200, {}, {} }, start + 600ms, out);
+    });
+    cr_assert_eq(fixture.released.size(), 5, "the first event shows that the inputs were read");
 }
 
 Test(Forwarder, aStageIsMadeInTheZoneOfTheResultsThatItTakes)
 {
-    World world;
-    world.servers
+    ForwarderFixture fixture;
+    fixture.servers
         = { server("m1", "model"), server("p1", "portal", "b"), server("b1", "bill"), server("b2", "bill", "b") };
-    world.run([&](auto& out) { world.forwarder->setServers(world.servers, start, out); });
+    fixture.collectActions([&](auto& out) { fixture.forwarder->setServers(fixture.servers, start, out); });
     for (std::size_t i = 0; i < 6; ++i) {
-        world.pieces = { 2, 3 };
-        world.submit("staged", start + i * 700ms);
-        world.endBatch(world.batches.at(2 * i), start + i * 700ms + 234ms);
-        cr_assert_eq(world.batches.at(2 * i + 1).server.id.value(), "b2");
-        world.endBatch(world.batches[2 * i + 1], start + i * 700ms + 500ms);
+        fixture.pieces = { 2, 3 };
+        fixture.submit("staged", start + i * 700ms);
+        fixture.endBatch(fixture.batches.at(2 * i), start + i * 700ms + 234ms);
+        cr_assert_eq(fixture.batches.at(2 * i + 1).server.id.value(), "b2");
+        fixture.endBatch(fixture.batches[2 * i + 1], start + i * 700ms + 500ms);
     }
 }
 
 Test(Forwarder, aStageWithoutPiecesIsLeftOut)
 {
-    World world;
-    world.pieces = { 0, 0 };
-    world.submit("staged");
-    cr_assert_eq(world.batches.size(), 0);
-    cr_assert_eq(world.sent.size(), 1);
+    ForwarderFixture fixture;
+    fixture.pieces = { 0, 0 };
+    fixture.submit("staged");
+    cr_assert_eq(fixture.batches.size(), 0);
+    cr_assert_eq(fixture.sent.size(), 1);
 }
 
 Test(Forwarder, aResultThatIsGoneIsMadeAgain)
 {
-    World world;
-    world.pieces = { 1, 1 };
-    world.submit("staged");
-    world.endBatch(world.batches.at(0), start + 217ms);
-    world.endBatch(world.batches.at(1), start + 434ms);
-    world.end(world.sent.at(0).call, ForwardCallEnd::InputGone, start + 440ms);
-    cr_assert_eq(world.batches.size(), 3);
-    cr_assert_eq(world.batches[2].service.value(), "portal");
+    ForwarderFixture fixture;
+    fixture.pieces = { 1, 1 };
+    fixture.submit("staged");
+    fixture.endBatch(fixture.batches.at(0), start + 217ms);
+    fixture.endBatch(fixture.batches.at(1), start + 434ms);
+    fixture.end(fixture.sent.at(0).call, ForwardCallEnd::InputGone, start + 440ms);
+    cr_assert_eq(fixture.batches.size(), 3);
+    cr_assert_eq(fixture.batches[2].service.value(), "portal");
 }
 
 Test(Forwarder, aServerThatCallersLeaveWithoutAnAnswerIsSuspected)
 {
-    World world;
-    world.submit("once");
-    const auto silent = world.sent.at(0).server.id;
-    std::size_t left = 0;
+    ForwarderFixture fixture;
+    fixture.submit("once");
+    const auto silent = fixture.sent.at(0).server.id;
+    std::size_t remaining = 0;
     for (int i = 0; i < 12; ++i) {
         const auto now = start + i * 10ms;
-        const auto id = world.submit("once", now);
-        const auto& call = world.sent.back();
+        const auto id = fixture.submit("once", now);
+        const auto& call = fixture.sent.back();
         if (call.server.id != silent)
             continue;
-        ++left;
-        world.run([&](auto& out) { world.forwarder->onCallerLeft(id, now + 2s, out); });
-        if (left == 2)
+        ++remaining;
+        fixture.collectActions([&](auto& out) { fixture.forwarder->onCallerLeft(id, now + 2s, out); });
+        if (remaining == 2)
             break;
     }
-    cr_assert_eq(left, 2);
-    const auto before = world.sent.size();
+    cr_assert_eq(remaining, 2);
+    const auto before = fixture.sent.size();
     for (int i = 0; i < 12; ++i)
-        world.submit("once", start + 2200ms);
-    for (std::size_t i = before; i < world.sent.size(); ++i)
-        cr_assert_neq(world.sent[i].server.id, silent);
+        fixture.submit("once", start + 2200ms);
+    for (std::size_t i = before; i < fixture.sent.size(); ++i)
+        cr_assert_neq(fixture.sent[i].server.id, silent);
 }
 
 Test(Forwarder, aCallerThatLeavesEndsAllWork)
 {
-    World world;
-    const auto plain = world.submit("safe");
-    world.run([&](auto& out) { world.forwarder->onCallerLeft(plain, start + 10ms, out); });
-    cr_assert_eq(world.stopped.size(), 1);
-    world.pieces = { 1, 1 };
-    const auto staged = world.submit("staged", start + 20ms);
-    world.run([&](auto& out) { world.forwarder->onCallerLeft(staged, start + 30ms, out); });
-    world.endBatch(world.batches.at(0), start + 240ms);
-    cr_assert_eq(world.batches.size(), 1);
-    cr_assert_eq(world.released.size(), 1, "a result that nobody waits for is released");
-    cr_assert_eq(world.forwarder->status(start).requests, 0);
+    ForwarderFixture fixture;
+    const auto plain = fixture.submit("safe");
+    fixture.collectActions([&](auto& out) { fixture.forwarder->onCallerLeft(plain, start + 10ms, out); });
+    cr_assert_eq(fixture.stopped.size(), 1);
+    fixture.pieces = { 1, 1 };
+    const auto staged = fixture.submit("staged", start + 20ms);
+    fixture.collectActions([&](auto& out) { fixture.forwarder->onCallerLeft(staged, start + 30ms, out); });
+    fixture.endBatch(fixture.batches.at(0), start + 240ms);
+    cr_assert_eq(fixture.batches.size(), 1);
+    cr_assert_eq(fixture.released.size(), 1, "a result that nobody waits for is released");
+    cr_assert_eq(fixture.forwarder->status(start).requests, 0);
 }
 
 Test(Forwarder, theTimeLimitEndsARequestWithWhatIsTrue)
 {
-    World world;
-    world.submit("book");
-    world.time(start + 8s);
-    cr_assert_eq(world.replies.at(0).response.status, 504, "it may have run");
-    world.servers.clear();
-    world.run([&](auto& out) { world.forwarder->setServers({}, start, out); });
-    world.submit("book", start, 200ms);
-    world.time(start + 200ms);
-    cr_assert_eq(world.replies.at(1).response.status, 503, "it never left");
+    ForwarderFixture fixture;
+    fixture.submit("book");
+    fixture.runTimers(start + 8s);
+    cr_assert_eq(fixture.replies.at(0).response.status, 504, "it may have run");
+    fixture.servers.clear();
+    fixture.collectActions([&](auto& out) { fixture.forwarder->setServers({}, start, out); });
+    fixture.submit("book", start, 200ms);
+    fixture.runTimers(start + 200ms);
+    cr_assert_eq(fixture.replies.at(1).response.status, 503, "it never left");
 }
 
 Test(Forwarder, whatCannotBeServedInTimeIsRefusedAtOnce)
 {
-    World world;
-    world.pieces = { 10, 1 };
+    ForwarderFixture fixture;
+    fixture.pieces = { 10, 1 };
     for (int i = 0; i < 60; ++i)
-        world.submit("staged", start, 3s);
-    const auto refused = std::count_if(world.replies.begin(), world.replies.end(),
+        fixture.submit("staged", start, 3s);
+    const auto refused = std::count_if(fixture.replies.begin(), fixture.replies.end(),
         [](const ReplyWhole& it) { return it.end == ForwardEnd::Overloaded; });
     cr_assert_gt(refused, 30);
-    for (const auto& it : world.replies) {
+    for (const auto& it : fixture.replies) {
         cr_assert_eq(it.response.status, 503);
         cr_assert_gt(it.retryAfter, Duration {});
         cr_assert_leq(it.retryAfter, 1s, "a third of the caller's time");
@@ -441,42 +444,42 @@
 
 Test(Forwarder, aStoppingInstanceRefusesWhatIsNewAndEndsWhatItHas)
 {
-    World world;
-    world.submit("book");
-    world.forwarder->stopAccepting();
-    world.submit("book", start + 1s);
-    cr_assert_eq(world.sent.size(), 1);
-    cr_assert_eq(world.replies.at(0).end, ForwardEnd::ShuttingDown);
-    world.end(world.sent[0].call, ForwardCallEnd::Complete, start + 2s);
-    cr_assert_eq(world.replies.at(1).response.status, 200);
+    ForwarderFixture fixture;
+    fixture.submit("book");
+    fixture.forwarder->stopAccepting();
+    fixture.submit("book", start + 1s);
+    cr_assert_eq(fixture.sent.size(), 1);
+    cr_assert_eq(fixture.replies.at(0).end, ForwardEnd::ShuttingDown);
+    fixture.end(fixture.sent[0].call, ForwardCallEnd::Complete, start + 2s);
+    cr_assert_eq(fixture.replies.at(1).response.status, 200);
 }
 
 Test(Forwarder, aServersOwnFailureIsPassedOnWhereNoOtherServerMayBeAsked)
 {
-    World world;
-    world.submit("safe");
-    world.end(world.sent[0].call, ForwardCallEnd::Complete, start + 20ms, 500);
-    cr_assert_eq(world.sent.size(), 2, "a safe request may run again");
-    world.end(world.sent[1].call, ForwardCallEnd::Complete, start + 40ms, 500);
-    cr_assert_eq(world.replies.at(0).response.status, 500);
-    cr_assert_eq(world.replies[0].end, ForwardEnd::Answered);
+    ForwarderFixture fixture;
+    fixture.submit("safe");
+    fixture.end(fixture.sent[0].call, ForwardCallEnd::Complete, start + 20ms, 500);
+    cr_assert_eq(fixture.sent.size(), 2, "a safe request may run again");
+    fixture.end(fixture.sent[1].call, ForwardCallEnd::Complete, start + 40ms, 500);
+    cr_assert_eq(fixture.replies.at(0).response.status, 500);
+    cr_assert_eq(fixture.replies[0].end, ForwardEnd::Answered);
 }
 
 Test(Forwarder, aRepeatTakesTheBudgetOnce)
 {
-    World world;
+    ForwarderFixture fixture;
     for (int i = 0; i < 200; ++i)
-        world.servers.push_back(server("more" + std::to_string(i), "desk"));
-    world.run([&](auto& out) { world.forwarder->setServers(world.servers, start, out); });
+        fixture.servers.push_back(server("more" + std::to_string(i), "desk"));
+    fixture.collectActions([&](auto& out) { fixture.forwarder->setServers(fixture.servers, start, out); });
     // One instance may repeat 0.8 of 50 calls and of 0.2 for each first one.
     std::size_t repeats = 0;
     for (int i = 0; i < 60; ++i) {
-        const auto before = world.sent.size();
-        world.submit("safe");
-        world.end(world.sent[before].call, ForwardCallEnd::Complete, start + 1ms, 500);
-        repeats += world.sent.size() - before - 1;
-        if (world.sent.size() > before + 1)
-            world.end(world.sent[before + 1].call, ForwardCallEnd::Complete, start + 2ms);
+        const auto before = fixture.sent.size();
+        fixture.submit("safe");
+        fixture.end(fixture.sent[before].call, ForwardCallEnd::Complete, start + 1ms, 500);
+        repeats += fixture.sent.size() - before - 1;
+        if (fixture.sent.size() > before + 1)
+            fixture.end(fixture.sent[before + 1].call, ForwardCallEnd::Complete, start + 2ms);
     }
     cr_assert_geq(repeats, 40);
     cr_assert_leq(repeats, 50);
--- a/src/foxtailwheel/serving/PoolPolicy.cpp
+++ b/src/foxtailwheel/serving/PoolPolicy.cpp
@@ -10,13 +10,13 @@
 
     constexpr double hedgeQuantile = 0.95;
     constexpr double hedgeFallbackFactor = 3;
-    constexpr Duration shortestHedge = 2ms;
-    constexpr Duration streamSilenceLimit = 1s;
+    constexpr Duration minHedgeDelay = 2ms;
+    constexpr Duration streamSilenceTimeout = 1s;
     /// Budget taken by a retry of a call that never started, which cost a server nothing.
-    constexpr double cheapRetry = 0.05;
+    constexpr double unstartedRetryCost = 0.05;
     /// Most extra attempts saved up while little goes wrong: the calls in progress at a fifth of the servers an
     /// instance uses all break when those die at once.
-    constexpr double savedExtras = 32;
+    constexpr double retryBudgetCapacity = 32;
 
     const routing::ServerPool* poolOf(const Catalog& catalog, const ServiceId& service)
     {
@@ -26,10 +26,10 @@
 
 } // namespace
 
-PoolPolicy::PoolPolicy(std::function<std::shared_ptr<const Catalog>()> catalog, bool hedging, double extraShare)
+PoolPolicy::PoolPolicy(std::function<std::shared_ptr<const Catalog>()> catalog, bool hedging, double retryRatio)
     : m_catalog(std::move(catalog))
     , m_hedging(hedging)
-    , m_budget(extraShare, extraShare > 0 ? savedExtras : 0)
+    , m_retryBudget(retryRatio, retryRatio > 0 ? retryBudgetCapacity : 0)
 {
 }
 
@@ -48,24 +48,24 @@
     const auto catalog = m_catalog();
     const auto* pool = poolOf(*catalog, stage.service);
     const auto delay = pool == nullptr ? fallback : pool->timeQuantile(hedgeQuantile, fallback);
-    return std::max(delay, shortestHedge);
+    return std::max(delay, minHedgeDelay);
 }
 
 Duration PoolPolicy::progressLimit(const pipeline::Stage& /*stage*/) const
 {
-    return streamSilenceLimit;
+    return streamSilenceTimeout;
 }
 
 bool PoolPolicy::takeExtra(const pipeline::Stage& /*stage*/, bool costly)
 {
     const std::lock_guard lock(m_mutex);
-    return m_budget.take(costly ? 1 : cheapRetry);
+    return m_retryBudget.take(costly ? 1 : unstartedRetryCost);
 }
 
 void PoolPolicy::earn(double utilization)
 {
     const std::lock_guard lock(m_mutex);
-    m_budget.earn(utilization);
+    m_retryBudget.earn(utilization);
 }
 
 } // namespace foxtailwheel::serving
--- a/src/foxtailwheel/serving/PoolPolicy.h
+++ b/src/foxtailwheel/serving/PoolPolicy.h
@@ -17,7 +17,7 @@
 public:
     /// @param catalog Gives the configuration in force.
     /// @param extraShare Hedges and costly retries for each first attempt; 0 for none.
-    PoolPolicy(std::function<std::shared_ptr<const Catalog>()> catalog, bool hedging, double extraShare);
+    PoolPolicy(std::function<std::shared_ptr<const Catalog>()> catalog, bool hedging, double retryRatio);
 
     Duration expectedTime(const pipeline::Stage& stage) const override;
     std::optional<Duration> hedgeDelay(const pipeline::Stage& stage) const override;
@@ -30,7 +30,7 @@
     std::function<std::shared_ptr<const Catalog>()> m_catalog;
     bool m_hedging;
     std::mutex m_mutex;
-    limits::ExtraBudget m_budget;
+    limits::ExtraBudget m_retryBudget;
 };
 
 } // namespace foxtailwheel::serving
--- a/src/foxtailwheel/serving/RoutingForwarder.h
+++ b/src/foxtailwheel/serving/RoutingForwarder.h
@@ -11,13 +11,13 @@
 namespace foxtailwheel::serving {
 
 /// @brief Number of milliseconds or the like, as it is written in logs.
-std::string logNumber(double n);
+std::string formatInteger(double n);
 
 /// @brief Status of an answer that the forwarder gives itself.
-unsigned statusOf(ForwardEnd end);
+unsigned httpStatus(ForwardEnd end);
 
 /// @brief What a timer is for.
-enum class TimerKind { Deadline, FindServer, SecondAttempt, Silence, Batches };
+enum class TimerKind { Deadline, FindServer, Hedge, StreamSilence, Dispatch };
 
 /// @brief One thing that is due at a time; ignored where its run or call has ended.
 struct Timer {
@@ -28,13 +28,13 @@
 };
 
 /// @brief Longest time that callers of a route came with lately.
-struct CallerTime {
-    Duration time {};
-    TimePoint until;
+struct CallerTimeout {
+    Duration timeout {};
+    TimePoint expiresAt;
 };
 
 /// @brief The stage that a group of pieces belongs to.
-struct GroupOwner {
+struct StageRef {
     ForwardId run;
     StageIndex stage = 0;
 };
@@ -44,9 +44,9 @@
 public:
     explicit RoutingForwarder(ForwarderOptions options)
         : m_options(std::move(options))
-        , m_directory(m_options, [this] { return newCall(); })
+        , m_directory(m_options, [this] { return allocateCallId(); })
         , m_broker(
-              m_options.pools.self, [this](const ServiceId& id) { return queueOf(id); }, m_options.note)
+              m_options.pools.self, [this](const ServiceId& id) { return findQueue(id); }, m_options.note)
         , m_random(m_options.pools.seed)
     {
     }
@@ -54,13 +54,16 @@
     bool configure(std::shared_ptr<const config::RouteTable> table, TimePoint now, ForwardActions& out) override;
     std::shared_ptr<const config::RouteTable> table() const override { return m_table; }
     void setServers(const std::vector<AnnouncedServer>& servers, TimePoint now, ForwardActions& out) override;
-    void confirmCredentials(TimePoint asOf) override { m_confirmedAt = std::max(m_confirmedAt, asOf); }
+    void confirmCredentials(TimePoint asOf) override
+    {
+        m_credentialsConfirmedAt = std::max(m_credentialsConfirmedAt, asOf);
+    }
     void setMembers(const std::vector<InstanceId>& live, const std::vector<InstanceId>& owners,
-        const std::set<InstanceId>& gone, TimePoint now, ForwardActions& out) override;
+        const std::set<InstanceId>& removed, TimePoint now, ForwardActions& out) override;
     void onPeer(const InstanceId& from, const PieceMessage& message, TimePoint now, ForwardActions& out) override;
     void onPeerLost(const InstanceId& instance, TimePoint now, ForwardActions& out) override;
     void stopAccepting() override { m_accepting = false; }
-    ForwardId newRequest() override { return ForwardId(++m_lastRun); }
+    ForwardId newRequest() override { return ForwardId(++m_lastRunId); }
     void submit(ForwardId id, ForwardRequest request, TimePoint now, ForwardActions& out) override;
     void onCallerLeft(ForwardId id, TimePoint now, ForwardActions& out) override;
     void onHead(CallId call, http::Response head, TimePoint now, ForwardActions& out) override;
@@ -78,57 +81,58 @@
     ForwarderStatus status(TimePoint now) const override;
 
 private:
-    CallId newCall() { return CallId(++m_lastCall); }
-    BatchQueue* queueOf(const ServiceId& id);
-    void pumpAll(TimePoint now, ForwardActions& out);
-    void shareQueues(TimePoint now);
-    ForwardRun* find(ForwardId id);
-    ForwardRun* ownerOf(CallId call);
+    CallId allocateCallId() { return CallId(++m_lastCallId); }
+    BatchQueue* findQueue(const ServiceId& id);
+    void dispatchAll(TimePoint now, ForwardActions& out);
+    void updateQueueShares(TimePoint now);
+    ForwardRun* findRun(ForwardId id);
+    ForwardRun* findRunOfCall(CallId call);
     void setTimer(TimePoint at, Timer timer) { m_timers.emplace(at, std::move(timer)); }
-    void note(const ForwardRun& run, std::string_view event,
+    void logDecision(const ForwardRun& run, std::string_view event,
         std::vector<std::pair<std::string_view, std::string>> fields) const;
 
     std::optional<ForwardEnd> authorize(ForwardRun& run, TimePoint now) const;
-    ServiceId drawService(const ForwardRun& run);
+    ServiceId pickService(const ForwardRun& run);
     void start(ForwardRun& run, TimePoint now, ForwardActions& out);
-    Duration spentBefore(const ForwardRun& run, TimePoint now);
+    Duration timeSpentOnEarlierAttempts(const ForwardRun& run, TimePoint now);
     void chooseZone(ForwardRun& run);
     Duration expectedTime(const ForwardRun& run, bool late, TimePoint now) const;
-    std::optional<Duration> overloaded(const ForwardRun& run, TimePoint now) const;
+    std::optional<Duration> retryAfterOverload(const ForwardRun& run, TimePoint now) const;
 
     void startStages(ForwardRun& run, TimePoint now, ForwardActions& out);
     void requestPieces(ForwardRun& run, StageIndex stage, TimePoint now, ForwardActions& out);
     void restartStages(ForwardRun& run, TimePoint now, ForwardActions& out);
-    Piece pieceOf(const ForwardRun& run, StageIndex stage, std::uint32_t index) const;
-    void carry(BrokerActions actions, TimePoint now, ForwardActions& out);
-    Duration answerTime(const ForwardRun& run) const;
+    Piece makePiece(const ForwardRun& run, StageIndex stage, std::uint32_t index) const;
+    void applyBrokerActions(BrokerActions actions, TimePoint now, ForwardActions& out);
+    Duration usualTimeToFirstByte(const ForwardRun& run) const;
     bool isSilent(const ForwardRun& run, const OpenCall& call, TimePoint now) const;
-    void learnAnswerTime(const ForwardRun& run, const OpenCall& call, TimePoint now);
-    TimePoint goalOf(const ForwardRun& run, StageIndex stage) const;
-    PieceGroup groupOf(const ForwardRun& run, StageIndex stage, TimePoint now) const;
-    static std::optional<AvailabilityZoneId> zoneOf(const ForwardRun& run, StageIndex stage);
-    static long stagesFrom(const ForwardRun& run, StageIndex stage);
-    void takePiece(const PieceDone& piece, TimePoint now, ForwardActions& out);
-    void pieceFailed(ForwardRun& run, StageIndex stage, const PieceDone& piece, PieceFailure failure, TimePoint now,
+    void recordTimeToFirstByte(const ForwardRun& run, const OpenCall& call, TimePoint now);
+    TimePoint stageTargetTime(const ForwardRun& run, StageIndex stage) const;
+    PieceGroup makeGroup(const ForwardRun& run, StageIndex stage, TimePoint now) const;
+    static std::optional<AvailabilityZoneId> preferredZoneOf(const ForwardRun& run, StageIndex stage);
+    static long countRemainingStages(const ForwardRun& run, StageIndex stage);
+    void onPieceDone(const PieceDone& piece, TimePoint now, ForwardActions& out);
+    void onPieceFailed(ForwardRun& run, StageIndex stage, const PieceDone& piece, PieceFailure failure, TimePoint now,
         ForwardActions& out);
     void release(ReleaseResults results, TimePoint now, ForwardActions& out);
     void releaseStage(ForwardRun& run, StageIndex stage, TimePoint now, ForwardActions& out);
-    void releaseFollowed(ForwardRun& run, TimePoint now, ForwardActions& out);
-    void forgetStages(ForwardRun& run, TimePoint now, ForwardActions& out);
+    void releaseConsumedResults(ForwardRun& run, TimePoint now, ForwardActions& out);
+    void cancelStages(ForwardRun& run, TimePoint now, ForwardActions& out);
 
     void sendRequest(ForwardRun& run, TimePoint now, ForwardActions& out);
     std::optional<std::uint64_t> affinityOf(const ForwardRun& run) const;
-    bool sendTo(ForwardRun& run, bool again, TimePoint now, ForwardActions& out);
-    void closeCall(ForwardRun& run, CallId call, routing::CallSign sign, bool stop, TimePoint now, ForwardActions& out);
-    void callNotRun(ForwardRun& run, ForwardCallEnd end, TimePoint now, ForwardActions& out);
-    void callBroken(ForwardRun& run, ForwardCallEnd end, TimePoint now, ForwardActions& out);
-    void sendElsewhere(ForwardRun& run, TimePoint now, ForwardActions& out);
-    void complete(ForwardRun& run, http::Response response, TimePoint now, ForwardActions& out);
-    void moveStream(ForwardRun& run, TimePoint now, ForwardActions& out);
+    bool trySend(ForwardRun& run, bool retry, TimePoint now, ForwardActions& out);
+    void closeCall(
+        ForwardRun& run, CallId call, routing::CallSign outcome, bool stop, TimePoint now, ForwardActions& out);
+    void onCallNotRun(ForwardRun& run, ForwardCallEnd end, TimePoint now, ForwardActions& out);
+    void onCallBroken(ForwardRun& run, ForwardCallEnd end, TimePoint now, ForwardActions& out);
+    void retryOnOtherServer(ForwardRun& run, TimePoint now, ForwardActions& out);
+    void onResponseComplete(ForwardRun& run, http::Response response, TimePoint now, ForwardActions& out);
+    void failOverStream(ForwardRun& run, TimePoint now, ForwardActions& out);
 
     void refuse(ForwardRun& run, ForwardEnd end, Duration retryAfter, TimePoint now, ForwardActions& out);
     void finishStream(ForwardRun& run, ForwardEnd end, TimePoint now, ForwardActions& out);
-    void close(ForwardRun& run, TimePoint now, ForwardActions& out);
+    void closeRun(ForwardRun& run, TimePoint now, ForwardActions& out);
     void fail(ForwardRun& run, ForwardEnd end, TimePoint now, ForwardActions& out);
     void onTimer(const Timer& timer, TimePoint now, ForwardActions& out);
     void onDeadline(ForwardRun& run, TimePoint now, ForwardActions& out);
@@ -137,21 +141,21 @@
     std::shared_ptr<const config::RouteTable> m_table;
     ServerDirectory m_directory;
     PieceBroker m_broker;
-    std::size_t m_instances = 1;
+    std::size_t m_instanceCount = 1;
     bool m_accepting = true;
     Random m_random;
     std::unordered_map<ForwardId, std::unique_ptr<ForwardRun>> m_runs;
     std::unordered_map<CallId, ForwardId> m_calls;
     std::unordered_map<CallId, ServiceId> m_batchCalls;
-    std::unordered_map<PieceGroupId, GroupOwner> m_groups;
+    std::unordered_map<PieceGroupId, StageRef> m_groups;
     std::multimap<TimePoint, Timer> m_timers;
-    std::unordered_map<std::string, CallerTime> m_callerTimes; ///< By route.
-    std::unordered_map<std::string, SmoothedTime> m_answerTimes; ///< From sending to the first event, by route.
-    std::map<ServiceId, TimePoint> m_pumpTimers; ///< When the queue of a service is looked at next.
-    TimePoint m_confirmedAt {};
-    std::uint64_t m_lastRun = 0;
-    std::uint64_t m_lastCall = 0;
-    std::uint64_t m_lastGroup = 0;
+    std::unordered_map<std::string, CallerTimeout> m_callerTimeouts; ///< By route.
+    std::unordered_map<std::string, SmoothedTime> m_timesToFirstByte; ///< From sending to the first event, by route.
+    std::map<ServiceId, TimePoint> m_dispatchTimers; ///< When the queue of a service is looked at next.
+    TimePoint m_credentialsConfirmedAt {};
+    std::uint64_t m_lastRunId = 0;
+    std::uint64_t m_lastCallId = 0;
+    std::uint64_t m_lastGroupId = 0;
 };
 
 } // namespace foxtailwheel::serving
--- a/src/foxtailwheel/serving/ServerDirectory.cpp
+++ b/src/foxtailwheel/serving/ServerDirectory.cpp
@@ -22,13 +22,13 @@
 
 } // namespace
 
-ServerDirectory::ServerDirectory(const ForwarderOptions& options, std::function<CallId()> newCall)
+ServerDirectory::ServerDirectory(const ForwarderOptions& options, std::function<CallId()> allocateCallId)
     : m_options(options)
-    , m_newCall(std::move(newCall))
+    , m_allocateCallId(std::move(allocateCallId))
 {
 }
 
-config::Service ServerDirectory::declared(
+config::Service ServerDirectory::toService(
     const config::RoutedService& service, const std::vector<AnnouncedServer>& servers) const
 {
     config::Service out;
@@ -45,7 +45,7 @@
     return out;
 }
 
-config::Declarations ServerDirectory::links(const std::vector<AnnouncedServer>& servers) const
+config::Declarations ServerDirectory::crossZoneLinks(const std::vector<AnnouncedServer>& servers) const
 {
     config::Declarations out;
     const auto& own = m_options.pools.zone;
@@ -56,43 +56,43 @@
     return out;
 }
 
-ServiceState ServerDirectory::make(const config::RoutedService& service)
+ServiceState ServerDirectory::makeState(const config::RoutedService& service)
 {
-    auto pool = routing::ServerPool::create(declared(service, {}), {}, m_options.pools);
-    limits::WindowBudget budget(m_options.retryShare, m_options.retryExtra, m_options.retryWindow);
-    budget.setInstances(m_instances);
-    std::unique_ptr<BatchQueue> batches;
+    auto pool = routing::ServerPool::create(toService(service, {}), {}, m_options.pools);
+    limits::WindowBudget retryBudget(m_options.retryShare, m_options.retryExtra, m_options.retryWindow);
+    retryBudget.setInstances(m_instanceCount);
+    std::unique_ptr<BatchQueue> batchQueue;
     if (service.batch)
-        batches = std::make_unique<BatchQueue>(service.id, *service.batch, *pool,
-            BatchQueueEvents { m_newCall,
-                [this, id = service.id](std::size_t n, TimePoint now) { return find(id)->budget.take(n, now); } });
-    return { std::move(pool), std::move(budget), std::move(batches), {} };
+        batchQueue = std::make_unique<BatchQueue>(service.id, *service.batch, *pool,
+            BatchQueueEvents { m_allocateCallId,
+                [this, id = service.id](std::size_t n, TimePoint now) { return find(id)->retryBudget.take(n, now); } });
+    return { std::move(pool), std::move(retryBudget), std::move(batchQueue), {} };
 }
 
-void ServerDirectory::refresh(const config::RoutedService& service, ServiceState& state)
+void ServerDirectory::updateService(const config::RoutedService& service, ServiceState& state)
 {
     const auto& servers = m_announced[service.id];
     state.announced = servers;
-    state.pool->update(declared(service, servers), links(servers));
+    state.pool->update(toService(service, servers), crossZoneLinks(servers));
     std::set<BackendServerId> leaving;
     for (const auto& it : servers) {
         if (it.leaving)
             leaving.insert(it.server.id);
     }
     state.pool->setLeaving(leaving);
-    if (state.batches && service.batch)
-        state.batches->setLimits(*service.batch);
+    if (state.batchQueue && service.batch)
+        state.batchQueue->setLimits(*service.batch);
 }
 
 void ServerDirectory::configure(const config::RouteTable& table)
 {
     // A service that was dropped keeps its state: requests of the configuration before may still use it.
     for (const auto& it : table.services) {
-        m_declared[it.id] = it;
+        m_routedServices[it.id] = it;
         auto found = m_services.find(it.id);
         if (found == m_services.end())
-            found = m_services.emplace(it.id, make(it)).first;
-        refresh(it, found->second);
+            found = m_services.emplace(it.id, makeState(it)).first;
+        updateService(it, found->second);
     }
 }
 
@@ -123,15 +123,15 @@
     std::swap(m_announced, byService);
     for (auto& [id, state] : m_services) {
         if (m_announced[id] != state.announced)
-            refresh(m_declared.at(id), state);
+            updateService(m_routedServices.at(id), state);
     }
 }
 
-void ServerDirectory::setInstances(std::size_t n)
+void ServerDirectory::setInstanceCount(std::size_t n)
 {
-    m_instances = std::max<std::size_t>(1, n);
+    m_instanceCount = std::max<std::size_t>(1, n);
     for (auto& it : m_services)
-        it.second.budget.setInstances(m_instances);
+        it.second.retryBudget.setInstances(m_instanceCount);
 }
 
 ServiceState* ServerDirectory::find(const ServiceId& id)
