--- a/include/foxtailwheel/serving/Catalog.h
+++ b/include/foxtailwheel/serving/Catalog.h
@@ -11,18 +11,19 @@
 
 namespace foxtailwheel::serving {
 
-/// @brief One accepted configuration in the form that requests are served from; never changed once made.
+/// @brief Immutable snapshot of one accepted configuration, with the indexes that requests are served from.
 struct Catalog {
     ConfigVersion version;
     std::shared_ptr<const config::Declarations> declarations;
     std::unordered_map<PipelineId, std::shared_ptr<const pipeline::Plan>> plans;
     std::unordered_map<ServiceId, std::shared_ptr<routing::ServerPool>> pools;
     std::unordered_map<ClientAccountId, const config::ClientAccount*> accounts;
-    std::unordered_map<std::string, const config::ClientAccount*> credentials; ///< By SHA-256 of the credential.
+    std::unordered_map<std::string, const config::ClientAccount*>
+        credentials; ///< Keyed by the SHA-256 of the credential.
 };
 
-/// @brief Makes the catalog of a configuration; pools of services that stay are taken over from `before`.
-/// @param before The catalog in force until now, or null.
+/// @brief Builds the snapshot of a configuration. Pools of services that still exist are reused from `previous`.
+/// @param previous The snapshot active until now, or null.
 std::shared_ptr<const Catalog> makeCatalog(ConfigVersion version,
     std::shared_ptr<const config::Declarations> declarations, const Catalog* previous,
     const routing::PoolOptions& options);
--- a/include/foxtailwheel/serving/EventStream.h
+++ b/include/foxtailwheel/serving/EventStream.h
@@ -8,18 +8,18 @@
 
 namespace foxtailwheel::serving {
 
-/// @brief One whole event of a `text/event-stream` body, its closing blank line included.
+/// @brief One complete event of a `text/event-stream` body, including the blank line that ends it.
 struct ServerSentEvent {
     std::string bytes;
     std::optional<std::uint64_t> id; ///< From its `id:` line.
 };
 
-/// @brief Cuts a `text/event-stream` body into whole events; what is not yet whole waits.
+/// @brief Splits a `text/event-stream` body into complete events and buffers the incomplete rest.
 class EventSplitter {
 public:
-    /// @brief Takes a chunk of any length and returns the events that it completes.
+    /// @brief Adds a chunk of any length and returns the events that it completes.
     std::vector<ServerSentEvent> feed(std::string_view chunk);
-    /// @brief True where bytes of an event that is not whole are held.
+    /// @brief Returns true if an incomplete event is buffered.
     bool hasPartialEvent() const { return !m_partialEvent.empty(); }
 
 private:
--- a/include/foxtailwheel/serving/Forwarder.h
+++ b/include/foxtailwheel/serving/Forwarder.h
@@ -19,10 +19,10 @@
 
 namespace foxtailwheel::serving {
 
-/// @brief Number of one caller's request that is passed on, unique in a process.
+/// @brief Number of a caller's request that is forwarded, unique within a process.
 using ForwardId = StrongNumber<struct ForwardTag>;
 
-/// @brief One part of a prompt; requests that share leading parts can use the same cached state.
+/// @brief One part of a prompt. Requests with the same leading parts can reuse the same cached state.
 struct PromptPart {
     std::uint64_t id = 0;
     std::uint32_t tokens = 0;
@@ -30,52 +30,52 @@
 
 /// @brief A caller's request for a route.
 struct ForwardRequest {
-    std::string name; ///< The caller's own name of this attempt.
+    std::string name; ///< Attempt id that the caller chose.
     std::string host;
-    http::Request message; ///< Method, target, body, and the headers that are passed on.
-    std::string credential; ///< Empty where none came.
-    std::optional<Duration> timeLeft; ///< How long the caller will wait.
-    std::vector<std::uint32_t> pieces; ///< Pieces of each stage of the route; 0 leaves the stage out.
-    std::string pieceKey;
+    http::Request message; ///< Method, target, body, and the headers that are forwarded.
+    std::string credential; ///< Empty if the caller sent none.
+    std::optional<Duration> timeLeft; ///< Time until the caller's deadline.
+    std::vector<std::uint32_t> pieces; ///< Number of pieces for each stage of the route; 0 skips the stage.
+    std::string pieceKey; ///< Key of the pieces of stages that depend on no other stage.
     std::vector<PromptPart> prompt;
-    std::optional<std::uint64_t> lastEventId; ///< The caller has the events up to this one.
+    std::optional<std::uint64_t> lastEventId; ///< Last event that the caller has received.
 };
 
-/// @brief A backend server as its own announcement describes it.
+/// @brief A backend server as described by its own announcement.
 struct AnnouncedServer {
     config::BackendServer server;
     ServiceId service;
     bool leaving = false;
-    std::uint32_t slots = 0;
+    std::uint32_t slots = 0; ///< Calls that the server runs at once.
 
     friend bool operator==(const AnnouncedServer&, const AnnouncedServer&) = default;
 };
 
-/// @brief Send a caller's request to a backend server.
+/// @brief Action: send a caller's request to a backend server.
 struct SendForward {
     CallId call;
     ForwardId request;
     config::BackendServer server;
-    http::Request message; ///< As the caller sent it.
-    std::string name;
-    ClientAccountId account; ///< Empty where the route is public.
+    http::Request message; ///< Unchanged from the caller.
+    std::string name; ///< Attempt id that the caller chose.
+    ClientAccountId account; ///< Empty if the route is public.
     Duration timeLeft {};
     std::uint32_t priority = 0;
-    std::vector<std::string> inputs; ///< Handles of the stages' results.
-    std::optional<std::uint64_t> lastEventId; ///< Events up to this one are not wanted again.
-    bool streams = false;
+    std::vector<std::string> inputs; ///< Handles of the stage results that the request uses.
+    std::optional<std::uint64_t> lastEventId; ///< The server resumes the stream after this event.
+    bool streams = false; ///< The response is an event stream.
     bool idempotent = false;
     TimePoint deadline;
 };
 
-/// @brief Break off a call; its end is still reported.
+/// @brief Action: cancel a call. Its end is still reported.
 struct StopForward {
     CallId call;
 };
 
-/// @brief Why a request ended as it did; for answers, logs and metrics.
+/// @brief Outcome of a request, for responses, logs and metrics.
 enum class ForwardEnd {
-    Answered, ///< The backend server's answer was passed on, whatever its status.
+    Answered, ///< The backend server's response was forwarded, whatever its status.
     NoConfiguration,
     NoRoute,
     BadCredential,
@@ -84,19 +84,19 @@
     NoServer,
     Overloaded,
     StageFailed,
-    NotStarted, ///< The backend servers said that they did not start it.
-    BackendFailed, ///< It may have run.
-    TimedOut, ///< It may have run.
-    TimedOutWaiting, ///< It never left this instance.
+    NotStarted, ///< The backend servers reported that they did not start the request.
+    BackendFailed, ///< The request may have run.
+    TimedOut, ///< The request may have run.
+    TimedOutWaiting, ///< The request was never sent to a backend server.
     CallerLeft,
     StreamBroken,
     ShuttingDown,
 };
 
-/// @brief Name of an end as it is written in answers, logs and metrics.
-std::string_view toString(ForwardEnd end);
+/// @brief Returns the name of an outcome as written in responses, logs and metrics.
+std::string_view toString(ForwardEnd outcome);
 
-/// @brief Answer a caller in full.
+/// @brief Action: send a complete response to a caller.
 struct ReplyWhole {
     ForwardId request;
     http::Response response;
@@ -104,118 +104,130 @@
     Duration retryAfter {}; ///< 0 for none.
 };
 
-/// @brief Begin a streamed answer.
+/// @brief Action: send the head of a streamed response.
 struct ReplyHead {
     ForwardId request;
     http::Response head;
 };
 
-/// @brief Add bytes to a streamed answer.
+/// @brief Action: send body bytes of a streamed response.
 struct ReplyBytes {
     ForwardId request;
     std::string bytes;
 };
 
-/// @brief End a streamed answer, whole or by breaking its connection.
+/// @brief Action: end a streamed response, either normally or by closing its connection.
 struct ReplyEnd {
     ForwardId request;
     ForwardEnd end = ForwardEnd::Answered;
 };
 
-/// @brief What the forwarder wants done.
+/// @brief Action that the forwarder's owner must execute.
 using ForwardAction = std::variant<SendForward, StopForward, SendBatch, TellInstance, ReleaseResults, ReplyWhole,
     ReplyHead, ReplyBytes, ReplyEnd>;
 using ForwardActions = std::vector<ForwardAction>;
 
-/// @brief How a call of a caller's request ended.
+/// @brief Outcome of one call for a caller's request.
 enum class ForwardCallEnd {
-    Complete, ///< The whole answer came.
-    NotSent, ///< No byte was handed to a socket.
-    Refused, ///< The server said that it did not and will not run it.
-    Misdirected, ///< Another server has the address; nothing ran.
-    InputGone, ///< A stage's result is gone; nothing ran.
-    Broken, ///< The connection ended early, or what came is no answer to this request.
+    Complete, ///< The whole response was received.
+    NotSent, ///< No byte was written to a socket.
+    Refused, ///< The server reported that it has not run and will not run the request.
+    Misdirected, ///< Another server uses the address; the request did not run.
+    InputGone, ///< A stage result no longer exists; the request did not run.
+    Broken, ///< The connection ended early, or the response does not belong to this request.
     TimedOut,
 };
 
-/// @brief Name of an end as it is written in logs.
-std::string_view toString(ForwardCallEnd end);
+/// @brief Returns the name of an outcome as written in logs.
+std::string_view toString(ForwardCallEnd outcome);
 
-/// @brief Load that a backend server told with an answer.
+/// @brief Load that a backend server reported with a response.
 struct ToldLoad {
-    std::uint32_t running = 0;
-    std::uint32_t waiting = 0;
+    std::uint32_t running = 0; ///< Calls in execution.
+    std::uint32_t waiting = 0; ///< Calls in the server's queue.
 };
 
-/// @brief How requests are passed on.
+/// @brief Options of request forwarding.
 struct ForwarderOptions {
     routing::PoolOptions pools;
-    Duration crossZoneDelay = std::chrono::milliseconds(5); ///< One way between availability zones; the sheets' figure.
-    double retryShare = 0.2; ///< Repeated calls for each first one, over all instances; the operators' bound.
-    double retryExtra = 50; ///< Repeated calls besides in a window, over all instances; the operators' bound.
+    Duration crossZoneDelay
+        = std::chrono::milliseconds(5); ///< One-way network delay between availability zones, as specified.
+    double retryShare = 0.2; ///< Retries per first call, over all instances; limit of the operators.
+    double retryExtra = 50; ///< Additional retries per window, over all instances; limit of the operators.
     Duration retryWindow = std::chrono::seconds(10);
-    Duration credentialLife = std::chrono::milliseconds(4500); ///< Oldest confirmation of credentials that counts.
-    bool batchAcrossInstances = true; ///< Off only to measure what shared batches gain.
-    bool admissionControl = true; ///< Off only to measure what refusing at once gains.
-    bool affinity = true; ///< Off only to measure what cached prompts gain.
-    bool hedging = true; ///< Off only to measure what they gain.
+    Duration credentialLife
+        = std::chrono::milliseconds(4500); ///< Maximum age of the last confirmation of the credentials.
+    bool batchAcrossInstances = true; ///< Disabled only to measure the effect of batches shared by instances.
+    bool admissionControl = true; ///< Disabled only to measure the effect of early rejection.
+    bool affinity = true; ///< Disabled only to measure the effect of prompt caches.
+    bool hedging = true; ///< Hedged calls and failover of silent streams; disabled only to measure their effect.
     NoteSink note; ///< May be empty.
 };
 
-/// @brief Counts for metrics and readiness.
+/// @brief State for metrics and readiness checks.
 struct ForwarderStatus {
-    std::uint64_t version = 0; ///< Of the configuration in force; 0 for none.
+    std::uint64_t version = 0; ///< Version of the active configuration; 0 for none.
     std::size_t requests = 0; ///< In progress.
     std::size_t piecesWaiting = 0;
     bool credentialsCurrent = false;
 };
 
-/// @brief Passes requests of routes on to backend servers: credentials, stages in pieces, placement, repeats, streams
-/// and their limits of time; no I/O.
+/// @brief Forwards requests of routes to backend servers. Handles credentials, stages and their pieces, placement,
+/// retries, streams and timeouts. Performs no I/O.
 ///
-/// Not thread-safe: one driver thread owns it. Every event takes the time and adds the actions that follow from it.
+/// Not thread-safe: one driver thread owns it. Every event handler is given the current time and appends the resulting
+/// actions to `out`.
 class Forwarder {
 public:
     static std::unique_ptr<Forwarder> create(ForwarderOptions options);
     virtual ~Forwarder() = default;
 
-    /// @brief Puts a configuration in force; one that is not newer is ignored.
+    /// @brief Activates a configuration. Returns false and changes nothing if it is not newer than the active one.
     virtual bool configure(std::shared_ptr<const config::RouteTable> table, TimePoint now, ForwardActions& out) = 0;
     virtual std::shared_ptr<const config::RouteTable> table() const = 0;
     /// @brief Replaces the set of announced backend servers.
     virtual void setServers(const std::vector<AnnouncedServer>& servers, TimePoint now, ForwardActions& out) = 0;
-    /// @brief The credentials in force are known to have been current at `asOf`.
+    /// @brief Records that the active credentials were confirmed as current at `asOf`.
     virtual void confirmCredentials(TimePoint asOf) = 0;
-    /// @brief Takes the live instances, this one included, those among them that may own services, and those that are
-    /// gone.
+    /// @brief Sets the live instances.
+    /// @param live All live instances, this one included.
+    /// @param owners The live instances that may own services.
+    /// @param removed Instances that are no longer members.
     virtual void setMembers(const std::vector<InstanceId>& live, const std::vector<InstanceId>& owners,
         const std::set<InstanceId>& removed, TimePoint now, ForwardActions& out)
         = 0;
-    /// @brief Another instance has said something about pieces.
+    /// @brief Handles a message about pieces from another instance.
     virtual void onPeer(const InstanceId& from, const PieceMessage& message, TimePoint now, ForwardActions& out) = 0;
 
-    /// @brief What was asked of another instance may be lost.
+    /// @brief The connection to an instance was lost, so requests sent to it may be lost.
     virtual void onPeerLost(const InstanceId& instance, TimePoint now, ForwardActions& out) = 0;
-    /// @brief From now on every new request is refused; those in progress go on.
+    /// @brief Rejects all new requests from now on; requests in progress continue.
     virtual void stopAccepting() = 0;
+    /// @brief Returns the id for the next request.
     virtual ForwardId newRequest() = 0;
+    /// @brief Starts a request under an id from `newRequestId`.
     virtual void submit(ForwardId id, ForwardRequest request, TimePoint now, ForwardActions& out) = 0;
+    /// @brief The caller disconnected: cancels all work for its request.
     virtual void onCallerLeft(ForwardId id, TimePoint now, ForwardActions& out) = 0;
 
-    /// @brief The head of an answer came, with a status of 200 and the marks of an answer to this request.
+    /// @brief The head of a response was received. Its status is 200 and it has been verified to belong to this
+    /// request.
     virtual void onHead(CallId call, http::Response head, TimePoint now, ForwardActions& out) = 0;
-    /// @brief Bytes of a streamed answer came.
+    /// @brief Body bytes of a streamed response were received.
     virtual void onData(CallId call, std::string_view bytes, TimePoint now, ForwardActions& out) = 0;
-    /// @brief A call ended; `response` holds the whole answer where `end` is `Complete` and it was not streamed.
-    virtual void onEnd(CallId call, ForwardCallEnd end, http::Response response, TimePoint now, ForwardActions& out)
+    /// @brief A call ended. `response` is the whole response if `outcome` is `Complete` and it was not streamed.
+    virtual void onEnd(CallId call, ForwardCallEnd outcome, http::Response response, TimePoint now, ForwardActions& out)
         = 0;
+    /// @brief A batch call ended.
+    /// @param results One result per piece if `outcome` is `Answered`.
     virtual void onBatchEnd(
-        CallId call, BatchEnd end, const std::vector<PieceResult>& results, TimePoint now, ForwardActions& out)
+        CallId call, BatchEnd outcome, const std::vector<PieceResult>& results, TimePoint now, ForwardActions& out)
         = 0;
+    /// @brief The server of a call reported its load.
     virtual void onLoad(CallId call, const ToldLoad& load, TimePoint now) = 0;
-    /// @brief Does what is due.
+    /// @brief Runs all timers that are due.
     virtual void onTime(TimePoint now, ForwardActions& out) = 0;
-    /// @brief When `onTime` is next needed.
+    /// @brief Returns when `runDueTimers` must be called next.
     virtual TimePoint nextTime() const = 0;
 
     virtual ForwarderStatus status(TimePoint now) const = 0;
--- a/include/foxtailwheel/serving/Note.h
+++ b/include/foxtailwheel/serving/Note.h
@@ -8,14 +8,14 @@
 
 namespace foxtailwheel::serving {
 
-/// @brief One decision with what decided it, for the log.
+/// @brief One decision and its inputs, for the log.
 struct Note {
     std::string_view event;
-    std::string request; ///< Empty where it touches no single request.
+    std::string request; ///< Empty if the decision does not concern a single request.
     std::vector<std::pair<std::string_view, std::string>> fields;
 };
 
-/// @brief Receives decisions for the log; called while a decision is made, so it must not call back.
+/// @brief Receives decisions for the log. It is called while a decision is being made and must not call back.
 using NoteSink = std::function<void(const Note&)>;
 
 } // namespace foxtailwheel::serving
--- a/src/foxtailwheel/serving/CallsInProgress.cpp
+++ b/src/foxtailwheel/serving/CallsInProgress.cpp
@@ -8,12 +8,12 @@
 
     using namespace std::chrono_literals;
 
-    /// The next call to a server leaves this long before the one in progress should end: a connection, the call and the
-    /// answer before it take about four ways between zones, in which the server would be idle.
+    /// Time before the expected end of a call at which the next one is sent to its server. Otherwise the server would
+    /// be idle for about four one-way delays between zones: the response, the connection setup and the call.
     constexpr Duration nextCallLeadTime = 25ms;
-    /// A call that is late by more than this may take much longer, and nothing is sent after it.
+    /// Nothing is sent behind a call that is overdue by more than this, since it may take much longer.
     constexpr Duration maxOverdue = 60ms;
-    /// Pause before a server that did not start a call is sent another: others fill its queue for about so long.
+    /// Pause after a server did not start a call. Other callers' calls fill its queue for about this long.
     constexpr Duration busyBackoff = 60ms;
 
 } // namespace
--- a/src/foxtailwheel/serving/CallsInProgress.h
+++ b/src/foxtailwheel/serving/CallsInProgress.h
@@ -8,38 +8,38 @@
 
 namespace foxtailwheel::serving {
 
-/// @brief A batch call that was sent and has not ended.
+/// @brief A batch call in progress.
 struct BatchCall {
     config::BackendServer server;
     std::vector<WaitingPiece> pieces;
-    TimePoint begunAt; ///< When its server starts on it, as far as is known.
-    Duration expected {}; ///< From then on.
-    std::uint64_t resultBytes = 0; ///< Of all its pieces.
-    bool doubled = false; ///< Its pieces were put into the queue once more.
+    TimePoint begunAt; ///< Estimated time at which the server starts the call.
+    Duration expected {}; ///< Expected duration after the start.
+    std::uint64_t resultBytes = 0; ///< Sum over all pieces.
+    bool doubled = false; ///< The pieces were added to the queue a second time, for a hedged call.
 
     TimePoint endsAt() const { return begunAt + expected; }
-    /// @brief True where the next call to its server should leave now, to arrive as this one ends.
+    /// @brief Returns true if the next call to the server should be sent now, to arrive as this one ends.
     bool isEnding(TimePoint now) const;
 };
 
-/// @brief The batch calls of one queue that are in progress, and which servers take another. Not thread-safe.
+/// @brief The batch calls in progress of one queue, and which servers can be sent another. Not thread-safe.
 class CallsInProgress {
 public:
     void add(CallId id, BatchCall call) { m_calls.emplace(id, std::move(call)); }
-    /// @brief Removes a call that has ended; one that waited behind it at its server starts now.
+    /// @brief Removes and returns a call that has ended. Other calls at its server are assumed to start at `now`.
     std::optional<BatchCall> take(CallId id, TimePoint now);
-    /// @brief Nothing is sent to a server for a while: it did not start a call.
+    /// @brief Pauses sending to a server that did not start a call.
     void pause(const BackendServerId& server, TimePoint now);
 
-    /// @brief Whether a server has a slot, or lets a call wait and will have one when a call sent now arrives.
+    /// @brief Returns true if a server has a free slot, or queues calls and will have one when a call sent now arrives.
     bool takesNext(const BackendServerId& server, const config::BatchLimits& limits, TimePoint now) const;
-    /// @brief When a server starts on a call that is sent now.
+    /// @brief Returns when a server would start a call that is sent now.
     TimePoint freeAt(const BackendServerId& server, TimePoint now) const;
-    /// @brief When the last call to each server should end.
+    /// @brief Returns the expected end of the last call at each server.
     std::vector<std::pair<config::BackendServer, TimePoint>> ends() const;
-    /// @brief Calls that are not about to end.
+    /// @brief Returns the number of calls that are not about to end.
     std::size_t staying(TimePoint now) const;
-    /// @brief When a server takes a call next that did not at `after`; the end of time for never.
+    /// @brief Returns the next time after `after` at which a server may become available; `TimePoint::max()` for never.
     TimePoint nextChange(TimePoint after) const;
 
     std::unordered_map<CallId, BatchCall>& all() { return m_calls; }
--- a/src/foxtailwheel/serving/CallsInProgressTest.cpp
+++ b/src/foxtailwheel/serving/CallsInProgressTest.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-Test(CallsInProgress, aServerTakesTheNextCallShortlyBeforeItsLastOneEnds)
+Test(CallsInProgress, nextCallIsAllowedShortlyBeforeTheCurrentOneEnds)
 {
     CallsInProgress calls;
     cr_assert(calls.takesNext(server.id, oneSlot, start));
@@ -28,10 +28,11 @@
     cr_assert_eq(calls.nextChange(start), start + 175ms);
     cr_assert(calls.takesNext(server.id, oneSlot, start + 175ms));
     cr_assert_eq(calls.staying(start + 175ms), 0);
-    cr_assert(!calls.takesNext(server.id, oneSlot, start + 261ms), "it is overdue and may take much longer");
+    cr_assert(
+        !calls.takesNext(server.id, oneSlot, start + 261ms), "nothing is sent behind a call that is long overdue");
 }
 
-Test(CallsInProgress, aCallThatWaitedBeginsAsTheOneBeforeEnds)
+Test(CallsInProgress, queuedCallStartsWhenThePreviousOneEnds)
 {
     CallsInProgress calls;
     calls.add(CallId(1), call(start));
@@ -43,7 +44,7 @@
     cr_assert(!calls.take(CallId(1), start + 230ms));
 }
 
-Test(CallsInProgress, aServerThatDidNotStartACallPauses)
+Test(CallsInProgress, serverThatDidNotStartACallIsPaused)
 {
     CallsInProgress calls;
     calls.pause(server.id, start);
--- a/src/foxtailwheel/serving/EventStream.cpp
+++ b/src/foxtailwheel/serving/EventStream.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-    /// Position just after the first blank line, or npos.
+    /// Returns the position after the first blank line, or npos.
     std::size_t endOfEvent(std::string_view text)
     {
         for (std::size_t at = text.find('\n'); at != std::string_view::npos; at = text.find('\n', at + 1)) {
@@ -18,6 +18,7 @@
         return std::string_view::npos;
     }
 
+    /// Returns the number in the first `id:` line, or nothing if there is none or it is not a number.
     std::optional<std::uint64_t> parseEventId(std::string_view event)
     {
         while (!event.empty()) {
--- a/src/foxtailwheel/serving/EventStreamTest.cpp
+++ b/src/foxtailwheel/serving/EventStreamTest.cpp
@@ -4,7 +4,7 @@
 
 using foxtailwheel::serving::EventSplitter;
 
-Test(EventSplitter, anyCutGivesTheSameEvents)
+Test(EventSplitter, eventsDoNotDependOnChunkBoundaries)
 {
     const std::string body = "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nweight-versions: 3\nid: 7\ndata: c\n\n";
     for (std::size_t cut = 0; cut <= body.size(); ++cut) {
@@ -21,14 +21,14 @@
     }
 }
 
-Test(EventSplitter, aCutEventIsHeldBack)
+Test(EventSplitter, incompleteEventIsBuffered)
 {
     EventSplitter splitter;
     cr_assert_eq(splitter.feed("id: 1\ndata: a\n\nid: 2\ndata: b\n").size(), 1);
     cr_assert(splitter.hasPartialEvent());
 }
 
-Test(EventSplitter, anIdThatIsNoNumberIsNone)
+Test(EventSplitter, nonNumericIdIsIgnored)
 {
     EventSplitter splitter;
     const auto events = splitter.feed("id: x\ndata: a\n\n");
--- a/src/foxtailwheel/serving/ForwardCalls.cpp
+++ b/src/foxtailwheel/serving/ForwardCalls.cpp
@@ -9,29 +9,31 @@
 
     using namespace std::chrono_literals;
 
-    /// Calls that ended without running before a request is given up; each one is an arrival at the service.
+    /// Maximum calls that end without running before a request fails. Each of them adds load to the service.
     constexpr std::uint32_t maxUnexecutedCalls = 3;
-    /// Pause between looks for a usable server.
+    /// Interval between attempts to find a usable server.
     constexpr Duration serverRetryInterval = 25ms;
-    /// Share of a plain request's goal after which a second server is asked.
+    /// Fraction of the latency target after which a hedged call is sent for a request without streaming.
     constexpr double hedgeDelayShare = 0.5;
-    /// Share of a resumable stream's goal without its first event after which it is moved.
+    /// Fraction of the latency target after which a resumable stream without a first event fails over.
     constexpr double failoverDelayShare = 0.6;
-    /// Least time without the first event after which a stream is moved.
+    /// Minimum time without a first event before a stream fails over.
     constexpr Duration minFailoverDelay = 900ms;
-    /// Pause within a resumable stream after which it is moved; callers leave after two seconds.
+    /// Time without data after which a resumable stream fails over. Callers disconnect after two seconds.
     constexpr Duration streamSilenceTimeout = 1100ms;
-    /// Part of its time that a request must have left to be worth sending.
+    /// Requests with less remaining time than this are not sent.
     constexpr Duration minRemainingTimeToSend = 5ms;
-    /// A call without a first event counts as broken after this multiple of the route's usual time, and this time.
+    /// A call counts as silent without a first event after this multiple of the route's usual time to the first byte,
+    /// but not before `minSilence`.
     constexpr double silenceFactor = 4;
     constexpr Duration minSilence = 1s;
-    /// Time from sending a request to the first event of its answer, until it is measured.
+    /// Assumed time to the first byte until measurements are available.
     constexpr Duration initialTimeToFirstByte = 150ms;
 
 } // namespace
 
-/// Requests of the same subject meet at the same server: the part before the last is the one they share.
+/// Returns the key by which related requests are sent to the same server. Related prompts share all parts except the
+/// last, so the key is the part before it.
 std::optional<std::uint64_t> RoutingForwarder::affinityOf(const ForwardRun& run) const
 {
     const auto& prompt = run.request.prompt;
@@ -50,6 +52,7 @@
         setTimer(now + serverRetryInterval, { TimerKind::FindServer, run.id, {}, {} });
 }
 
+/// Sends the request to a server, preferably one that it was not sent to before. Returns false if none is available.
 bool RoutingForwarder::trySend(ForwardRun& run, bool retry, TimePoint now, ForwardActions& out)
 {
     auto* state = m_directory.find(run.service);
@@ -88,7 +91,8 @@
     return true;
 }
 
-/// Ends a call in the run's and the pool's books.
+/// Removes a call from the run and reports its outcome to the server pool.
+/// @param stop Cancels the call as well.
 void RoutingForwarder::closeCall(
     ForwardRun& run, CallId call, routing::CallSign outcome, bool stop, TimePoint now, ForwardActions& out)
 {
@@ -104,14 +108,14 @@
     run.calls.erase(it);
 }
 
-/// Time from the last stage's results to the first event of an answer, as it is for most requests of the route.
+/// Returns the time to the first byte that most requests of the route stay within, from sending the call.
 Duration RoutingForwarder::usualTimeToFirstByte(const ForwardRun& run) const
 {
     const auto it = m_timesToFirstByte.find(run.route->name);
     return it == m_timesToFirstByte.end() ? initialTimeToFirstByte : it->second.usual();
 }
 
-/// Whether a server has not answered for so long that it is a sign against it, though the caller ended the call.
+/// Returns true if a server has been silent for so long that the call counts as failed, although the caller ended it.
 bool RoutingForwarder::isSilent(const ForwardRun& run, const OpenCall& call, TimePoint now) const
 {
     const auto limit = std::max(minSilence, fromSeconds(toSeconds(usualTimeToFirstByte(run)) * silenceFactor));
@@ -129,11 +133,11 @@
     auto* run = findRunOfCall(call);
     if (run == nullptr)
         return;
-    auto* open = run->findCall(call);
-    open->headReceived = true;
+    auto* openCall = run->findCall(call);
+    openCall->headReceived = true;
     run->lastDataAt = now;
-    recordTimeToFirstByte(*run, *open, now);
-    // The first event shows that the server has read its inputs.
+    recordTimeToFirstByte(*run, *openCall, now);
+    // The first event proves that the server has read its inputs.
     for (StageIndex i = 0; i < run->stages.size(); ++i)
         releaseStage(*run, i, now, out);
     if (!run->route->streams)
@@ -155,7 +159,7 @@
     run->lastDataAt = now;
     std::string forwarded;
     for (auto& event : run->eventSplitter.feed(bytes)) {
-        // A server that resumes may repeat events that the caller has.
+        // A resuming server may repeat events that the caller has already received.
         if (event.id && run->lastEventId && *event.id <= *run->lastEventId)
             continue;
         if (event.id)
@@ -167,18 +171,18 @@
 }
 
 void RoutingForwarder::onEnd(
-    CallId call, ForwardCallEnd end, http::Response response, TimePoint now, ForwardActions& out)
+    CallId call, ForwardCallEnd outcome, http::Response response, TimePoint now, ForwardActions& out)
 {
     auto* run = findRunOfCall(call);
     if (run == nullptr)
         return;
     const bool headReceived = run->findCall(call)->headReceived;
-    if (end != ForwardCallEnd::Complete)
+    if (outcome != ForwardCallEnd::Complete)
         logDecision(*run, "call_failed",
-            { { "call", std::to_string(call.value()) }, { "end", std::string(toString(end)) },
+            { { "call", std::to_string(call.value()) }, { "end", std::string(toString(outcome)) },
                 { "status", std::to_string(response.status) },
                 { "after_ms", formatInteger(toMilliseconds(now - run->acceptedAt)) } });
-    switch (end) {
+    switch (outcome) {
     case ForwardCallEnd::Complete:
         closeCall(
             *run, call, response.status >= 500 ? routing::CallSign::Broken : routing::CallSign::Good, false, now, out);
@@ -191,62 +195,62 @@
     case ForwardCallEnd::NotSent:
     case ForwardCallEnd::Misdirected:
         closeCall(*run, call, routing::CallSign::Unreachable, false, now, out);
-        onCallNotRun(*run, end, now, out);
+        onCallNotRun(*run, outcome, now, out);
         return;
     case ForwardCallEnd::Refused:
         closeCall(*run, call, routing::CallSign::Busy, false, now, out);
-        onCallNotRun(*run, end, now, out);
+        onCallNotRun(*run, outcome, now, out);
         return;
     case ForwardCallEnd::InputGone:
         closeCall(*run, call, routing::CallSign::Good, false, now, out);
-        onCallNotRun(*run, end, now, out);
+        onCallNotRun(*run, outcome, now, out);
         return;
     case ForwardCallEnd::Broken:
     case ForwardCallEnd::TimedOut:
         closeCall(*run, call, routing::CallSign::Broken, false, now, out);
-        onCallBroken(*run, end, now, out);
+        onCallBroken(*run, outcome, now, out);
         return;
     }
 }
 
-/// The call certainly did not run, so another server may be asked even where a request may run only once.
-void RoutingForwarder::onCallNotRun(ForwardRun& run, ForwardCallEnd end, TimePoint now, ForwardActions& out)
+/// The call definitely did not run, so the request may be sent to another server even if it is not idempotent.
+void RoutingForwarder::onCallNotRun(ForwardRun& run, ForwardCallEnd outcome, TimePoint now, ForwardActions& out)
 {
     --run.possibleExecutions;
     run.mayHaveRun = run.possibleExecutions > 0;
     if (!run.calls.empty())
         return;
-    if (end == ForwardCallEnd::InputGone) {
+    if (outcome == ForwardCallEnd::InputGone) {
         run.triedServers.clear();
         restartStages(run, now, out);
         return;
     }
     auto* state = m_directory.find(run.service);
-    const bool arrived = end != ForwardCallEnd::NotSent;
-    if (++run.unexecutedCalls > maxUnexecutedCalls || (arrived && !state->retryBudget.take(1, now))) {
+    const bool reachedServer = outcome != ForwardCallEnd::NotSent;
+    if (++run.unexecutedCalls > maxUnexecutedCalls || (reachedServer && !state->retryBudget.take(1, now))) {
         fail(run, run.mayHaveRun ? ForwardEnd::BackendFailed : ForwardEnd::NotStarted, now, out);
         return;
     }
     sendRequest(run, now, out);
 }
 
-/// The call may have run: only what may be repeated goes to another server.
-void RoutingForwarder::onCallBroken(ForwardRun& run, ForwardCallEnd end, TimePoint now, ForwardActions& out)
+/// The call may have run, so only idempotent requests are sent to another server.
+void RoutingForwarder::onCallBroken(ForwardRun& run, ForwardCallEnd outcome, TimePoint now, ForwardActions& out)
 {
     if (!run.calls.empty())
         return;
-    const auto failure = end == ForwardCallEnd::TimedOut ? ForwardEnd::TimedOut : ForwardEnd::BackendFailed;
+    const auto failure = outcome == ForwardCallEnd::TimedOut ? ForwardEnd::TimedOut : ForwardEnd::BackendFailed;
     auto* state = m_directory.find(run.service);
     const bool allowed = run.idempotent() && run.possibleExecutions < run.route->maxServers;
     if (!allowed || !state->retryBudget.take(1, now)) {
         fail(run, run.headSent ? ForwardEnd::StreamBroken : failure, now, out);
         return;
     }
-    retryOnOtherServer(run, now, out);
+    resendRequest(run, now, out);
 }
 
-/// Sends a request once more; what its first call had released is made again before.
-void RoutingForwarder::retryOnOtherServer(ForwardRun& run, TimePoint now, ForwardActions& out)
+/// Sends a request again. If its stage results were already released, the stages are run again first.
+void RoutingForwarder::resendRequest(ForwardRun& run, TimePoint now, ForwardActions& out)
 {
     run.eventSplitter = {};
     const bool released
@@ -257,6 +261,7 @@
         sendRequest(run, now, out);
 }
 
+/// Forwards a complete response, or retries an idempotent request after a response with status 5xx.
 void RoutingForwarder::onResponseComplete(ForwardRun& run, http::Response response, TimePoint now, ForwardActions& out)
 {
     auto* state = m_directory.find(run.service);
@@ -265,7 +270,7 @@
         && run.calls.empty() && run.remainingTime(now) > serverRetryInterval;
     if (retry && state->retryBudget.take(1, now)) {
         logDecision(run, "answer_not_used", { { "status", std::to_string(response.status) } });
-        retryOnOtherServer(run, now, out);
+        resendRequest(run, now, out);
         return;
     }
     if (run.headSent) {
@@ -279,7 +284,7 @@
     closeRun(run, now, out);
 }
 
-/// Takes a stream away from a server that has gone silent and goes on at another.
+/// Cancels a stream whose server is silent and resumes it, preferably on another server.
 void RoutingForwarder::failOverStream(ForwardRun& run, TimePoint now, ForwardActions& out)
 {
     while (!run.calls.empty())
--- a/src/foxtailwheel/serving/ForwardNames.cpp
+++ b/src/foxtailwheel/serving/ForwardNames.cpp
@@ -7,9 +7,9 @@
     return std::to_string(static_cast<long>(n));
 }
 
-unsigned httpStatus(ForwardEnd end)
+unsigned httpStatus(ForwardEnd outcome)
 {
-    switch (end) {
+    switch (outcome) {
     case ForwardEnd::NoRoute:
         return 404;
     case ForwardEnd::BadCredential:
@@ -25,9 +25,9 @@
     }
 }
 
-std::string_view toString(ForwardEnd end)
+std::string_view toString(ForwardEnd outcome)
 {
-    switch (end) {
+    switch (outcome) {
     case ForwardEnd::Answered:
         return "answered";
     case ForwardEnd::NoConfiguration:
@@ -64,9 +64,9 @@
     return "unknown";
 }
 
-std::string_view toString(ForwardCallEnd end)
+std::string_view toString(ForwardCallEnd outcome)
 {
-    switch (end) {
+    switch (outcome) {
     case ForwardCallEnd::Complete:
         return "complete";
     case ForwardCallEnd::NotSent:
--- a/src/foxtailwheel/serving/ForwardRequests.cpp
+++ b/src/foxtailwheel/serving/ForwardRequests.cpp
@@ -10,20 +10,22 @@
 
     using namespace std::chrono_literals;
 
-    /// Hint for callers of an instance that has no configuration or no current credentials.
+    /// Retry-After hint of an instance that has no configuration or no current credentials.
     constexpr Duration notReadyRetryAfter = 300ms;
-    /// Part of its time within which a late request must be foreseen to be made: others still come and go first.
+    /// Fraction of its remaining time within which a late request must be expected to complete to be accepted. Requests
+    /// that arrive afterwards may still be served before it.
     constexpr double safeCompletionShare = 0.7;
-    /// Least hint for callers that are refused under load: about the time of one batch call.
+    /// Minimum Retry-After hint under overload: about the duration of one batch call.
     constexpr Duration minRetryAfter = 300ms;
-    /// Hint for callers that no server could take.
+    /// Retry-After hint if no server could run the request.
     constexpr Duration noServerRetryAfter = 500ms;
-    /// Callers differ in their patience by less than this; one that has less of the longest time has asked before.
+    /// Callers' timeouts on first attempts differ by less than this factor. A caller with a smaller fraction of the
+    /// longest timeout has tried before.
     constexpr double firstAttemptShare = 0.8;
-    /// The longest time of a route's callers is measured anew after this while.
+    /// Retention of the longest caller timeout of a route.
     constexpr Duration callerTimeoutRetention = 10s;
 
-    /// Weighted rendezvous hashing: a zone wins a share of all affinities in proportion to its weight.
+    /// Weighted rendezvous hashing: each zone is picked for a share of all affinity keys in proportion to its weight.
     std::optional<AvailabilityZoneId> pickZone(
         const std::map<AvailabilityZoneId, double>& weights, std::uint64_t affinity)
     {
@@ -61,7 +63,8 @@
         m_options.note({ event, run.request.name, std::move(fields) });
 }
 
-/// Finds the account of the credential. Without a recent confirmation nothing is said about a credential.
+/// Looks up the account of the credential. Without a recent confirmation, credentials are neither accepted nor
+/// rejected: the result is `CredentialsOutdated`.
 std::optional<ForwardEnd> RoutingForwarder::authorize(ForwardRun& run, TimePoint now) const
 {
     if (run.route->isPublic || !m_table->needsCredentials)
@@ -79,10 +82,10 @@
 ServiceId RoutingForwarder::pickService(const ForwardRun& run)
 {
     const auto& targets = run.route->targets;
-    double all = 0;
+    double totalWeight = 0;
     for (const auto& it : targets)
-        all += it.weight;
-    double remainingWeight = m_random.uniform() * all;
+        totalWeight += it.weight;
+    double remainingWeight = m_random.uniform() * totalWeight;
     for (const auto& it : targets) {
         remainingWeight -= it.weight;
         if (remainingWeight < 0)
@@ -114,8 +117,8 @@
         return;
     }
     run.priority = run.route->priority;
-    if (const auto end = authorize(run, now)) {
-        refuse(run, *end, *end == ForwardEnd::CredentialsOutdated ? notReadyRetryAfter : Duration {}, now, out);
+    if (const auto outcome = authorize(run, now)) {
+        refuse(run, *outcome, *outcome == ForwardEnd::CredentialsOutdated ? notReadyRetryAfter : Duration {}, now, out);
         return;
     }
     start(run, now, out);
@@ -153,21 +156,22 @@
     startStages(run, now, out);
 }
 
-/// Time that the caller has spent on earlier attempts: callers of a route begin with the same time, so one that has
-/// less of it has asked before.
+/// Estimates the time that the caller has spent on earlier attempts. Callers of a route start with the same timeout, so
+/// a shorter one indicates a retry.
 Duration RoutingForwarder::timeSpentOnEarlierAttempts(const ForwardRun& run, TimePoint now)
 {
     if (!run.request.timeLeft)
         return {};
     auto& longest = m_callerTimeouts[run.route->name];
-    const auto left = *run.request.timeLeft;
-    if (left >= longest.timeout || now > longest.expiresAt)
-        longest = { left, now + callerTimeoutRetention };
-    return toSeconds(left) > toSeconds(longest.timeout) * firstAttemptShare ? Duration {} : longest.timeout - left;
+    const auto remaining = *run.request.timeLeft;
+    if (remaining >= longest.timeout || now > longest.expiresAt)
+        longest = { remaining, now + callerTimeoutRetention };
+    return toSeconds(remaining) > toSeconds(longest.timeout) * firstAttemptShare ? Duration {}
+                                                                                 : longest.timeout - remaining;
 }
 
-/// Results are made where the request will run, since moving them between zones costs. The zones get requests in
-/// proportion to the servers of the route's scarcest stage there.
+/// Picks the zone in which the request and its stages should run, since transfers of results between zones are costly.
+/// Zones are weighted by the number of servers of the route's scarcest stage there.
 void RoutingForwarder::chooseZone(ForwardRun& run)
 {
     const auto affinity = affinityOf(run);
@@ -179,8 +183,9 @@
     run.homeZone = pickZone(m_directory.zoneShares(stages, run.service), *affinity);
 }
 
-/// Time until the answer begins, along the longest way through the stages, as the queues stand.
-/// @param late The request cannot meet its goal, so that its pieces go last.
+/// Returns the expected time until all stages are done: the longest path through the stages at the current queue
+/// lengths.
+/// @param late The request cannot meet its latency target, so its pieces are queued last.
 Duration RoutingForwarder::expectedTime(const ForwardRun& run, bool late, TimePoint now) const
 {
     std::vector<Duration> done(run.stages.size());
@@ -195,20 +200,20 @@
     return longest;
 }
 
-/// Whether a request would wait in vain: it cannot meet its goal, and what cannot is not made in its time. Such a
-/// request is told so at once, before anything is made for it.
-/// @return When to come back.
+/// Predicts whether a request would time out: it is expected to miss its latency target, and pieces of late requests
+/// are not expected to complete before its deadline. Such a request is rejected before any work is done for it.
+/// @return The Retry-After hint, or nothing if the request should be accepted.
 std::optional<Duration> RoutingForwarder::retryAfterOverload(const ForwardRun& run, TimePoint now) const
 {
     const auto remainingToTarget = run.firstAttemptAt + run.route->goal - now;
     const auto stages = expectedTime(run, false, now);
     if (stages == Duration {} || stages + usualTimeToFirstByte(run) <= remainingToTarget)
         return std::nullopt;
-    const auto left = run.remainingTime(now);
+    const auto remaining = run.remainingTime(now);
     const auto expected = expectedTime(run, true, now);
-    if (expected <= fromSeconds(toSeconds(left) * safeCompletionShare))
+    if (expected <= fromSeconds(toSeconds(remaining) * safeCompletionShare))
         return std::nullopt;
-    return std::clamp<Duration>(expected - left, minRetryAfter, std::max<Duration>(left / 3, minRetryAfter));
+    return std::clamp<Duration>(expected - remaining, minRetryAfter, std::max<Duration>(remaining / 3, minRetryAfter));
 }
 
 void RoutingForwarder::onCallerLeft(ForwardId id, TimePoint now, ForwardActions& out)
@@ -220,37 +225,39 @@
     closeRun(*run, now, out);
 }
 
-void RoutingForwarder::refuse(ForwardRun& run, ForwardEnd end, Duration retryAfter, TimePoint now, ForwardActions& out)
+void RoutingForwarder::refuse(
+    ForwardRun& run, ForwardEnd outcome, Duration retryAfter, TimePoint now, ForwardActions& out)
 {
     logDecision(run, "request_refused",
-        { { "reason", std::string(toString(end)) }, { "after_ms", formatInteger(toMilliseconds(now - run.acceptedAt)) },
+        { { "reason", std::string(toString(outcome)) },
+            { "after_ms", formatInteger(toMilliseconds(now - run.acceptedAt)) },
             { "version", std::to_string(m_table ? m_table->version : 0) },
             { "credentials_age_ms", formatInteger(toMilliseconds(now - m_credentialsConfirmedAt)) },
             { "retry_after_ms", formatInteger(toMilliseconds(retryAfter)) } });
-    http::Response response { httpStatus(end), { { "Content-Type", "application/json" } }, {} };
-    response.body = "{\"reason\":\"" + std::string(toString(end)) + "\"}";
-    out.emplace_back(ReplyWhole { run.id, std::move(response), end, retryAfter });
+    http::Response response { httpStatus(outcome), { { "Content-Type", "application/json" } }, {} };
+    response.body = "{\"reason\":\"" + std::string(toString(outcome)) + "\"}";
+    out.emplace_back(ReplyWhole { run.id, std::move(response), outcome, retryAfter });
     closeRun(run, now, out);
 }
 
-void RoutingForwarder::fail(ForwardRun& run, ForwardEnd end, TimePoint now, ForwardActions& out)
+void RoutingForwarder::fail(ForwardRun& run, ForwardEnd outcome, TimePoint now, ForwardActions& out)
 {
     if (run.headSent)
         finishStream(run, ForwardEnd::StreamBroken, now, out);
     else
-        refuse(run, end, httpStatus(end) == 503 ? noServerRetryAfter : Duration {}, now, out);
+        refuse(run, outcome, httpStatus(outcome) == 503 ? noServerRetryAfter : Duration {}, now, out);
 }
 
-void RoutingForwarder::finishStream(ForwardRun& run, ForwardEnd end, TimePoint now, ForwardActions& out)
+void RoutingForwarder::finishStream(ForwardRun& run, ForwardEnd outcome, TimePoint now, ForwardActions& out)
 {
     logDecision(run, "stream_ended",
-        { { "end", std::string(toString(end)) }, { "last_event", std::to_string(run.lastEventId.value_or(0)) },
+        { { "end", std::string(toString(outcome)) }, { "last_event", std::to_string(run.lastEventId.value_or(0)) },
             { "after_ms", formatInteger(toMilliseconds(now - run.acceptedAt)) } });
-    out.emplace_back(ReplyEnd { run.id, end });
+    out.emplace_back(ReplyEnd { run.id, outcome });
     closeRun(run, now, out);
 }
 
-/// Forgets the run: its calls are broken off, its pieces dropped, its results released.
+/// Removes the run: cancels its calls and pieces and releases its results.
 void RoutingForwarder::closeRun(ForwardRun& run, TimePoint now, ForwardActions& out)
 {
     const auto id = run.id;
--- a/src/foxtailwheel/serving/ForwardRun.h
+++ b/src/foxtailwheel/serving/ForwardRun.h
@@ -8,14 +8,14 @@
 
 namespace foxtailwheel::serving {
 
-/// @brief Pieces of one stage of a request.
+/// @brief Progress of one stage of a request.
 struct StageProgress {
-    std::vector<std::optional<ResultHandle>> results; ///< One for each piece.
-    std::size_t missing = 0;
-    PieceGroupId group;
-    std::uint32_t retries = 0; ///< Groups that were asked for again after a failure.
+    std::vector<std::optional<ResultHandle>> results; ///< One per piece.
+    std::size_t missing = 0; ///< Pieces without a result.
+    PieceGroupId group; ///< Group under which the pieces were requested.
+    std::uint32_t retries = 0; ///< Requests for pieces that were repeated after a failure.
     bool started = false;
-    bool released = false;
+    bool released = false; ///< The results were released at their producers.
 
     bool done() const { return started && missing == 0; }
 };
@@ -28,35 +28,37 @@
     bool headReceived = false;
 };
 
-/// @brief State of one caller's request from its arrival to its answer.
+/// @brief State of one caller's request until it is answered.
 struct ForwardRun {
     ForwardId id;
     ForwardRequest request;
     std::shared_ptr<const config::RouteTable> table; ///< Keeps `route` alive.
     const config::Route* route = nullptr;
-    ServiceId service; ///< Drawn from the route's targets.
+    ServiceId service; ///< Picked from the route's targets.
     ClientAccountId account;
     std::uint32_t priority = 0;
-    std::optional<AvailabilityZoneId> homeZone; ///< Where the request will run and its results should be made.
+    std::optional<AvailabilityZoneId> homeZone; ///< Preferred zone for the request and its stage results.
     TimePoint acceptedAt;
-    TimePoint firstAttemptAt; ///< When its caller first asked, as far as its time left tells.
+    TimePoint firstAttemptAt; ///< Estimated time of the caller's first attempt.
     TimePoint deadline;
     std::vector<StageProgress> stages;
     std::vector<OpenCall> calls;
-    std::vector<BackendServerId> triedServers; ///< Servers that the request was sent to.
-    std::uint32_t possibleExecutions = 0; ///< Servers that may have run it.
-    std::uint32_t unexecutedCalls = 0; ///< Calls that certainly did not run.
-    std::uint32_t stageRestarts = 0; ///< Times that the stages were made again.
-    bool retryBudgetCredited = false;
+    std::vector<BackendServerId> triedServers; ///< Servers to which the request was sent.
+    std::uint32_t possibleExecutions = 0; ///< Calls that may have run the request.
+    std::uint32_t unexecutedCalls = 0; ///< Calls that definitely did not run the request.
+    std::uint32_t stageRestarts = 0; ///< Times that the stages were run again.
+    bool retryBudgetCredited = false; ///< The first call was counted in the retry budget.
     bool mayHaveRun = false;
     EventSplitter eventSplitter;
-    std::optional<std::uint64_t> lastEventId; ///< Last event that the caller was given.
+    std::optional<std::uint64_t> lastEventId; ///< Last event that was forwarded to the caller.
     TimePoint lastDataAt;
     bool headSent = false;
 
+    /// @brief Returns true if the request may be sent again after it may have run.
     bool idempotent() const { return route->repeat == config::Repeat::Freely || (route->streams && route->resumable); }
+    /// @brief Returns true if all stages have their results.
     bool allStagesDone() const;
-    /// @brief Stages whose results the request itself takes: those that no other stage needs.
+    /// @brief Returns the handles of the request's own inputs: the results of stages that no other stage needs.
     std::vector<std::string> inputs() const;
     OpenCall* findCall(CallId call);
     Duration remainingTime(TimePoint now) const { return deadline - now; }
--- a/src/foxtailwheel/serving/ForwardStages.cpp
+++ b/src/foxtailwheel/serving/ForwardStages.cpp
@@ -8,13 +8,14 @@
 
     using namespace std::chrono_literals;
 
-    /// Groups of pieces that are asked for again after a failure, for each stage.
+    /// Maximum repeated requests for pieces after failures, per stage.
     constexpr std::uint32_t maxGroupRetries = 3;
-    /// Times that all stages of a request are made again because a result was gone.
+    /// Maximum times that all stages of a request are run again because a result no longer exists.
     constexpr std::uint32_t maxStageRestarts = 1;
-    /// Part of a full call that pieces of a busy stage wait before they leave: the mean, since calls end at any time.
+    /// Average wait of a piece at a busy stage, as a fraction of a full call: calls in progress end at arbitrary times.
     constexpr double meanWaitShare = 0.5;
 
+    /// Returns the duration of a batch call with the maximum number of pieces.
     Duration fullCallTime(const config::BatchLimits& limits)
     {
         return limits.callTime + limits.pieceTime * limits.pieces;
@@ -60,7 +61,7 @@
         sendRequest(run, now, out);
 }
 
-/// When the results of a stage are wanted: the request's goal less the usual time of what follows.
+/// Returns when the results of a stage are needed: the request's latency target minus the usual time of later steps.
 TimePoint RoutingForwarder::stageTargetTime(const ForwardRun& run, StageIndex stage) const
 {
     Duration after = usualTimeToFirstByte(run);
@@ -75,7 +76,8 @@
     return run.firstAttemptAt + run.route->goal - after;
 }
 
-/// Stages with pieces that are still to come, this one included; each may wait for its part of the time to spare.
+/// Returns the number of remaining stages with missing pieces, counting `stage`. The time until the target is divided
+/// equally among them.
 long RoutingForwarder::countRemainingStages(const ForwardRun& run, StageIndex stage)
 {
     return 1
@@ -83,8 +85,9 @@
             [](const StageProgress& it) { return it.missing > 0; });
 }
 
-/// Where the pieces of a stage should be made, so that the least crosses zones: each piece takes all results of the
-/// stages before, and its own result goes to where the request runs. Pieces of other stages go where there is a server.
+/// Returns the zone for the pieces of a stage that minimizes transfers between zones. Each piece reads all results of
+/// the stages that it needs, and results of final stages are read where the request runs. Other stages have no
+/// preference.
 std::optional<AvailabilityZoneId> RoutingForwarder::preferredZoneOf(const ForwardRun& run, StageIndex stage)
 {
     const auto& declared = run.route->stages[stage];
@@ -93,10 +96,10 @@
         for (const auto& it : run.stages[needed].results)
             inputs[it->maker.zone] += run.route->stages[needed].resultBytes;
     }
-    const auto most = std::max_element(
+    const auto largest = std::max_element(
         inputs.begin(), inputs.end(), [](const auto& a, const auto& b) { return a.second < b.second; });
-    if (most != inputs.end() && most->second >= declared.resultBytes)
-        return most->first;
+    if (largest != inputs.end() && largest->second >= declared.resultBytes)
+        return largest->first;
     const auto& stages = run.route->stages;
     const bool consumed = std::any_of(stages.begin(), stages.end(), [stage](const config::RouteStage& it) {
         return std::find(it.needs.begin(), it.needs.end(), stage) != it.needs.end();
@@ -104,13 +107,13 @@
     return consumed ? std::nullopt : run.homeZone;
 }
 
-/// The pieces of a stage that have no result yet.
+/// Returns a group of all pieces of a stage that have no result yet.
 PieceGroup RoutingForwarder::makeGroup(const ForwardRun& run, StageIndex stage, TimePoint now) const
 {
     const auto& progress = run.stages[stage];
-    const auto goal = stageTargetTime(run, stage);
-    PieceGroup group { progress.group, {}, run.priority, goal, run.deadline, preferredZoneOf(run, stage),
-        now + (goal - now) / countRemainingStages(run, stage), run.route->stages[stage].resultBytes };
+    const auto targetTime = stageTargetTime(run, stage);
+    PieceGroup group { progress.group, {}, run.priority, targetTime, run.deadline, preferredZoneOf(run, stage),
+        now + (targetTime - now) / countRemainingStages(run, stage), run.route->stages[stage].resultBytes };
     for (std::uint32_t i = 0; i < progress.results.size(); ++i) {
         if (!progress.results[i])
             group.pieces.push_back(makePiece(run, stage, i));
@@ -141,15 +144,16 @@
     applyBrokerActions(std::move(actions), now, out);
 }
 
-/// Passes on what the broker decided.
+/// Converts the broker's actions to the forwarder's, handles completed pieces and schedules the next dispatch of
+/// queues.
 void RoutingForwarder::applyBrokerActions(BrokerActions actions, TimePoint now, ForwardActions& out)
 {
     for (auto& it : actions) {
         if (auto* send = std::get_if<SendBatch>(&it)) {
             m_batchCalls[send->call] = send->service;
             out.emplace_back(std::move(*send));
-        } else if (auto* tell = std::get_if<TellInstance>(&it)) {
-            out.emplace_back(std::move(*tell));
+        } else if (auto* message = std::get_if<TellInstance>(&it)) {
+            out.emplace_back(std::move(*message));
         } else if (auto* release = std::get_if<ReleaseResults>(&it)) {
             out.emplace_back(std::move(*release));
         } else {
@@ -158,8 +162,8 @@
     }
     for (const auto& it : m_directory.services()) {
         const auto at = it.second.batchQueue ? it.second.batchQueue->nextPump() : std::nullopt;
-        const auto set = m_dispatchTimers.find(it.first);
-        if (!at || (set != m_dispatchTimers.end() && set->second <= *at))
+        const auto scheduled = m_dispatchTimers.find(it.first);
+        if (!at || (scheduled != m_dispatchTimers.end() && scheduled->second <= *at))
             continue;
         m_dispatchTimers[it.first] = *at;
         setTimer(std::max(*at, now), { TimerKind::Dispatch, {}, {}, it.first });
@@ -169,21 +173,21 @@
 void RoutingForwarder::onPieceDone(const PieceDone& piece, TimePoint now, ForwardActions& out)
 {
     const auto* handle = std::get_if<ResultHandle>(&piece.result);
-    const auto owner = m_groups.find(piece.group);
-    auto* run = owner == m_groups.end() ? nullptr : findRun(owner->second.run);
+    const auto stageRef = m_groups.find(piece.group);
+    auto* run = stageRef == m_groups.end() ? nullptr : findRun(stageRef->second.run);
     if (run == nullptr) {
         if (handle != nullptr)
             release({ handle->service, handle->maker, { handle->value } }, now, out);
         return;
     }
-    const auto stage = owner->second.stage;
+    const auto stage = stageRef->second.stage;
     auto& progress = run->stages[stage];
     if (handle == nullptr) {
         onPieceFailed(*run, stage, piece, std::get<PieceFailure>(piece.result), now, out);
         return;
     }
     if (piece.index >= progress.results.size() || progress.results[piece.index]) {
-        // Made twice, here and at the owner.
+        // The piece was produced twice: here and by the owner.
         release({ handle->service, handle->maker, { handle->value } }, now, out);
         return;
     }
@@ -266,7 +270,7 @@
         release(std::move(it.second), now, out);
 }
 
-/// Releases the results of stages whose followers are all done.
+/// Releases the results of stages whose dependent stages are all done.
 void RoutingForwarder::releaseConsumedResults(ForwardRun& run, TimePoint now, ForwardActions& out)
 {
     for (StageIndex i = 0; i < run.stages.size(); ++i) {
@@ -283,7 +287,7 @@
     }
 }
 
-/// Drops what still waits for the run and releases the results it has.
+/// Cancels the run's pending pieces and releases its results.
 void RoutingForwarder::cancelStages(ForwardRun& run, TimePoint now, ForwardActions& out)
 {
     for (StageIndex i = 0; i < run.stages.size(); ++i) {
--- a/src/foxtailwheel/serving/Forwarder.cpp
+++ b/src/foxtailwheel/serving/Forwarder.cpp
@@ -8,11 +8,11 @@
 
     using namespace std::chrono_literals;
 
-    /// Longest wait for a usable server before the request is refused.
+    /// Time without a usable server after which a request is rejected. Routes with a longer latency target use that.
     constexpr Duration serverWaitTimeout = 300ms;
-    /// Pause between looks for a usable server.
+    /// Interval between attempts to find a usable server.
     constexpr Duration serverRetryInterval = 25ms;
-    /// Pause within a resumable stream after which it is moved; callers leave after two seconds.
+    /// Time without data after which a resumable stream fails over. Callers disconnect after two seconds.
     constexpr Duration streamSilenceTimeout = 1100ms;
 
 } // namespace
@@ -48,7 +48,8 @@
     applyBrokerActions(std::move(actions), now, out);
 }
 
-/// The owner of a service fills all of its servers; others, which only stand in for it, their part.
+/// The owner of a service may use all of its servers. Other instances, which only replace an unavailable owner, may use
+/// an equal share.
 void RoutingForwarder::updateQueueShares(TimePoint now)
 {
     for (auto& it : m_directory.services()) {
@@ -97,7 +98,7 @@
 }
 
 void RoutingForwarder::onBatchEnd(
-    CallId call, BatchEnd end, const std::vector<PieceResult>& results, TimePoint now, ForwardActions& out)
+    CallId call, BatchEnd outcome, const std::vector<PieceResult>& results, TimePoint now, ForwardActions& out)
 {
     const auto it = m_batchCalls.find(call);
     if (it == m_batchCalls.end())
@@ -105,7 +106,7 @@
     const auto service = it->second;
     m_batchCalls.erase(it);
     BrokerActions actions;
-    m_broker.onBatchEnd(service, call, end, results, now, actions);
+    m_broker.onBatchEnd(service, call, outcome, results, now, actions);
     applyBrokerActions(std::move(actions), now, out);
 }
 
@@ -114,9 +115,9 @@
     auto* run = findRunOfCall(call);
     if (run == nullptr)
         return;
-    const auto* open = run->findCall(call);
+    const auto* openCall = run->findCall(call);
     if (auto* state = m_directory.find(run->service))
-        state->pool->reported(open->server, { load.running, load.waiting, now });
+        state->pool->reported(openCall->server, { load.running, load.waiting, now });
 }
 
 void RoutingForwarder::onTime(TimePoint now, ForwardActions& out)
--- a/src/foxtailwheel/serving/ForwarderTest.cpp
+++ b/src/foxtailwheel/serving/ForwarderTest.cpp
@@ -80,9 +80,9 @@
         return id;
     }
 
-    void end(CallId call, ForwardCallEnd end, TimePoint now, unsigned status = 200)
+    void endCall(CallId call, ForwardCallEnd outcome, TimePoint now, unsigned status = 200)
     {
-        collectActions([&](auto& out) { forwarder->onEnd(call, end, { status, {}, "answer" }, now, out); });
+        collectActions([&](auto& out) { forwarder->onEnd(call, outcome, { status, {}, "answer" }, now, out); });
     }
 
     void endBatch(const SendBatch& batch, TimePoint now)
@@ -108,7 +108,7 @@
             if (auto* send = std::get_if<SendForward>(&it))
                 sent.push_back(*send);
             else if (auto* stop = std::get_if<StopForward>(&it))
-                stopped.push_back(stop->call);
+                cancelled.push_back(stop->call);
             else if (auto* batch = std::get_if<SendBatch>(&it))
                 batches.push_back(*batch);
             else if (auto* whole = std::get_if<ReplyWhole>(&it))
@@ -116,7 +116,7 @@
             else if (auto* bytes = std::get_if<ReplyBytes>(&it))
                 streamed += bytes->bytes;
             else if (auto* ended = std::get_if<ReplyEnd>(&it))
-                ends.push_back(ended->end);
+                outcomes.push_back(ended->end);
             else if (auto* release = std::get_if<ReleaseResults>(&it))
                 released.insert(released.end(), release->handles.begin(), release->handles.end());
         }
@@ -129,91 +129,91 @@
     std::size_t requestCount = 0;
     std::size_t handles = 0;
     std::vector<SendForward> sent;
-    std::vector<CallId> stopped;
+    std::vector<CallId> cancelled;
     std::vector<SendBatch> batches;
     std::vector<ReplyWhole> replies;
     std::string streamed;
-    std::vector<ForwardEnd> ends;
+    std::vector<ForwardEnd> outcomes;
     std::vector<std::string> released;
 };
 
 } // namespace
 
-Test(Forwarder, anAnswerIsPassedOnAsItIs)
+Test(Forwarder, responseIsForwardedUnchanged)
 {
     ForwarderFixture fixture;
     fixture.submit("book");
     cr_assert_eq(fixture.sent.size(), 1);
     cr_assert_eq(fixture.sent[0].message.body, "body");
     cr_assert_eq(fixture.sent[0].account.value(), "account");
-    fixture.end(fixture.sent[0].call, ForwardCallEnd::Complete, start + 20ms, 500);
+    fixture.endCall(fixture.sent[0].call, ForwardCallEnd::Complete, start + 20ms, 500);
     cr_assert_eq(fixture.replies.size(), 1);
     cr_assert_eq(fixture.replies[0].response.status, 500);
     cr_assert_eq(fixture.replies[0].response.body, "answer");
 }
 
-Test(Forwarder, whatMayRunOnceIsNeverSentAgainOnceItMayHaveRun)
+Test(Forwarder, nonIdempotentRequestIsNotRetriedAfterItMayHaveRun)
 {
-    for (const auto end : { ForwardCallEnd::Broken, ForwardCallEnd::TimedOut }) {
+    for (const auto outcome : { ForwardCallEnd::Broken, ForwardCallEnd::TimedOut }) {
         for (const std::string name : { "book", "once" }) {
             ForwarderFixture fixture;
             fixture.submit(name);
-            fixture.end(fixture.sent[0].call, end, start + 20ms);
+            fixture.endCall(fixture.sent[0].call, outcome, start + 20ms);
             fixture.runTimers(start + 2s);
             cr_assert_eq(fixture.sent.size(), 1);
             cr_assert_eq(fixture.replies.size(), 1);
             cr_assert_geq(fixture.replies[0].response.status, 502);
-            cr_assert_neq(fixture.replies[0].response.status, 503, "503 would promise that it did not run");
+            cr_assert_neq(fixture.replies[0].response.status, 503, "503 would state that the request did not run");
         }
     }
 }
 
-Test(Forwarder, whatDidNotRunGoesToAnotherServer)
+Test(Forwarder, requestThatDidNotRunIsRetriedOnAnotherServer)
 {
-    for (const auto end : { ForwardCallEnd::NotSent, ForwardCallEnd::Refused, ForwardCallEnd::Misdirected }) {
+    for (const auto outcome : { ForwardCallEnd::NotSent, ForwardCallEnd::Refused, ForwardCallEnd::Misdirected }) {
         ForwarderFixture fixture;
         fixture.submit("book");
-        fixture.end(fixture.sent[0].call, end, start + 5ms);
+        fixture.endCall(fixture.sent[0].call, outcome, start + 5ms);
         cr_assert_eq(fixture.sent.size(), 2);
         cr_assert_neq(fixture.sent[1].server.id, fixture.sent[0].server.id);
     }
 }
 
-Test(Forwarder, aRefusalByAllServersIsARefusalToTheCaller)
+Test(Forwarder, refusalByAllServersIsReportedWithRetryAfter)
 {
     ForwarderFixture fixture;
     fixture.submit("book");
     for (std::size_t i = 0; i < fixture.sent.size() && i < 10; ++i)
-        fixture.end(fixture.sent[i].call, ForwardCallEnd::Refused, start + 5ms * (i + 1));
+        fixture.endCall(fixture.sent[i].call, ForwardCallEnd::Refused, start + 5ms * (i + 1));
     cr_assert_leq(fixture.sent.size(), 4);
     cr_assert_eq(fixture.replies.at(0).response.status, 503);
     cr_assert_gt(fixture.replies[0].retryAfter, Duration {});
 }
 
-Test(Forwarder, aBrokenIdempotentCallGoesToAnotherServerWithinTheRoutesBound)
+Test(Forwarder, brokenIdempotentCallIsRetriedUpToMaxServers)
 {
     ForwarderFixture fixture;
     fixture.submit("safe");
-    fixture.end(fixture.sent[0].call, ForwardCallEnd::Broken, start + 20ms);
+    fixture.endCall(fixture.sent[0].call, ForwardCallEnd::Broken, start + 20ms);
     cr_assert_eq(fixture.sent.size(), 2);
-    fixture.end(fixture.sent[1].call, ForwardCallEnd::Broken, start + 40ms);
+    fixture.endCall(fixture.sent[1].call, ForwardCallEnd::Broken, start + 40ms);
     cr_assert_eq(fixture.sent.size(), 2);
     cr_assert_eq(fixture.replies.at(0).response.status, 502);
 }
 
-Test(Forwarder, aSilentSafeCallIsAskedForAtASecondServerAndTheFirstAnswerCounts)
+Test(Forwarder, slowIdempotentCallIsHedgedAndTheFirstResponseWins)
 {
     ForwarderFixture fixture;
     fixture.submit("safe");
     fixture.runTimers(start + 500ms);
     cr_assert_eq(fixture.sent.size(), 2);
-    fixture.end(fixture.sent[1].call, ForwardCallEnd::Complete, start + 520ms);
+    fixture.endCall(fixture.sent[1].call, ForwardCallEnd::Complete, start + 520ms);
     cr_assert_eq(fixture.replies.size(), 1);
-    cr_assert_eq(fixture.stopped.size(), 1);
-    cr_assert_eq(fixture.stopped[0], fixture.sent[0].call);
+    cr_assert_eq(fixture.cancelled.size(), 1);
+    cr_assert_eq(fixture.cancelled[0], fixture.sent[0].call);
 }
 
-Test(Forwarder, withoutARecentConfirmationCredentialsAreNeitherTakenNorDenied)
+Test(Forwarder, outdatedCredentialsAreNeitherAcceptedNorRejected)
 {
     ForwarderFixture fixture;
     fixture.submit("book", start + 4400ms);
@@ -223,12 +223,12 @@
     cr_assert_eq(fixture.replies.at(0).response.status, 503);
     fixture.credential = "wrong";
     fixture.submit("book", start + 4700ms);
-    cr_assert_eq(fixture.replies.at(1).response.status, 503, "an unknown key may be a new one");
+    cr_assert_eq(fixture.replies.at(1).response.status, 503, "an unknown credential may be a new one");
     fixture.submit("book", start + 1s);
     cr_assert_eq(fixture.replies.at(2).response.status, 401);
 }
 
-Test(Forwarder, withoutAConfigurationNothingIsSaidOfRoutes)
+Test(Forwarder, requestWithoutConfigurationIsAnsweredWith503)
 {
     const auto forwarder = Forwarder::create({});
     ForwardActions actions;
@@ -236,7 +236,7 @@
     cr_assert_eq(std::get<ReplyWhole>(actions.at(0)).response.status, 503);
 }
 
-Test(Forwarder, anOlderConfigurationIsIgnored)
+Test(Forwarder, olderConfigurationIsIgnored)
 {
     ForwarderFixture fixture;
     ForwardActions actions;
@@ -245,7 +245,7 @@
     cr_assert_eq(fixture.forwarder->table()->version, 5);
 }
 
-Test(Forwarder, leavingServersGetNothingNew)
+Test(Forwarder, leavingServersGetNoNewCalls)
 {
     ForwarderFixture fixture;
     fixture.servers[0].leaving = true;
@@ -257,7 +257,7 @@
         cr_assert_eq(it.server.id.value(), "d2");
 }
 
-Test(Forwarder, aBrokenStreamGoesOnFromItsLastWholeEvent)
+Test(Forwarder, brokenStreamResumesAfterItsLastCompleteEvent)
 {
     ForwarderFixture fixture;
     fixture.submit("plan");
@@ -266,7 +266,7 @@
     fixture.collectActions([&](auto& out) {
         fixture.forwarder->onData(first, "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda", start + 110ms, out);
     });
-    fixture.end(first, ForwardCallEnd::Broken, start + 120ms);
+    fixture.endCall(first, ForwardCallEnd::Broken, start + 120ms);
     cr_assert_eq(fixture.sent.size(), 2);
     cr_assert_eq(*fixture.sent[1].lastEventId, 2);
     const auto second = fixture.sent[1].call;
@@ -274,12 +274,12 @@
     fixture.collectActions([&](auto& out) {
         fixture.forwarder->onData(second, "id: 2\ndata: b\n\nid: 3\ndata: c\n\n", start + 210ms, out);
     });
-    fixture.end(second, ForwardCallEnd::Complete, start + 220ms);
+    fixture.endCall(second, ForwardCallEnd::Complete, start + 220ms);
     cr_assert_eq(fixture.streamed, "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n");
-    cr_assert_eq(fixture.ends.at(0), ForwardEnd::Answered);
+    cr_assert_eq(fixture.outcomes.at(0), ForwardEnd::Answered);
 }
 
-Test(Forwarder, aStreamThatMayNotBeResumedIsBrokenOffRatherThanJoined)
+Test(Forwarder, brokenNonResumableStreamIsNotRetried)
 {
     ForwarderFixture fixture;
     fixture.submit("once");
@@ -287,35 +287,35 @@
     fixture.collectActions([&](auto& out) { fixture.forwarder->onHead(call, { 200, {}, {} }, start + 100ms, out); });
     fixture.collectActions(
         [&](auto& out) { fixture.forwarder->onData(call, "id: 1\ndata: a\n\n", start + 110ms, out); });
-    fixture.end(call, ForwardCallEnd::Broken, start + 120ms);
+    fixture.endCall(call, ForwardCallEnd::Broken, start + 120ms);
     cr_assert_eq(fixture.sent.size(), 1);
-    cr_assert_eq(fixture.ends.at(0), ForwardEnd::StreamBroken);
+    cr_assert_eq(fixture.outcomes.at(0), ForwardEnd::StreamBroken);
 }
 
-Test(Forwarder, aStreamThatEndsWithinAnEventIsNotWhole)
+Test(Forwarder, streamThatEndsWithinAnEventIsBroken)
 {
     ForwarderFixture fixture;
     fixture.submit("once");
     const auto call = fixture.sent.at(0).call;
     fixture.collectActions([&](auto& out) { fixture.forwarder->onHead(call, { 200, {}, {} }, start + 100ms, out); });
     fixture.collectActions([&](auto& out) { fixture.forwarder->onData(call, "id: 1\ndata: a", start + 110ms, out); });
-    fixture.end(call, ForwardCallEnd::Complete, start + 120ms);
+    fixture.endCall(call, ForwardCallEnd::Complete, start + 120ms);
     cr_assert_eq(fixture.streamed, "");
-    cr_assert_eq(fixture.ends.at(0), ForwardEnd::StreamBroken);
+    cr_assert_eq(fixture.outcomes.at(0), ForwardEnd::StreamBroken);
 }
 
-Test(Forwarder, aStreamIsMovedOnlyAfterItsSilentCallIsStopped)
+Test(Forwarder, silentCallIsCancelledBeforeItsStreamFailsOver)
 {
     ForwarderFixture fixture;
     fixture.submit("plan");
     const auto first = fixture.sent.at(0).call;
     fixture.collectActions([&](auto& out) { fixture.forwarder->onHead(first, { 200, {}, {} }, start + 100ms, out); });
     fixture.runTimers(start + 1300ms);
-    cr_assert_eq(fixture.stopped.at(0), first);
+    cr_assert_eq(fixture.cancelled.at(0), first);
     cr_assert_eq(fixture.sent.size(), 2);
 }
 
-Test(Forwarder, stagesRunInOrderAndTheRequestTakesTheLastResults)
+Test(Forwarder, stagesRunInOrderAndTheRequestGetsTheFinalResults)
 {
     ForwarderFixture fixture;
     fixture.pieces = { 2, 3 };
@@ -326,18 +326,18 @@
     fixture.endBatch(fixture.batches[0], start + 234ms);
     cr_assert_eq(fixture.batches.at(1).service.value(), "bill");
     cr_assert_eq(fixture.batches[1].pieces.size(), 3);
-    cr_assert_eq(fixture.batches[1].pieces[0].inputs.size(), 2, "each piece takes all results of the stage before");
+    cr_assert_eq(fixture.batches[1].pieces[0].inputs.size(), 2, "each piece uses all results of the previous stage");
     fixture.endBatch(fixture.batches[1], start + 500ms);
     cr_assert_eq(fixture.sent.size(), 1);
     cr_assert_eq(fixture.sent[0].inputs.size(), 3);
-    cr_assert_eq(fixture.released.size(), 2, "results that no stage needs any more are released");
+    cr_assert_eq(fixture.released.size(), 2, "results that no remaining stage needs are released");
     fixture.collectActions([&](auto& out) {
         fixture.forwarder->onHead(fixture.sent[0].call, { 200, {}, {} }, start + 600ms, out);
     });
-    cr_assert_eq(fixture.released.size(), 5, "the first event shows that the inputs were read");
+    cr_assert_eq(fixture.released.size(), 5, "the first event proves that the inputs were read");
 }
 
-Test(Forwarder, aStageIsMadeInTheZoneOfTheResultsThatItTakes)
+Test(Forwarder, stageRunsInTheZoneOfItsInputs)
 {
     ForwarderFixture fixture;
     fixture.servers
@@ -352,7 +352,7 @@
     }
 }
 
-Test(Forwarder, aStageWithoutPiecesIsLeftOut)
+Test(Forwarder, stageWithoutPiecesIsSkipped)
 {
     ForwarderFixture fixture;
     fixture.pieces = { 0, 0 };
@@ -361,36 +361,36 @@
     cr_assert_eq(fixture.sent.size(), 1);
 }
 
-Test(Forwarder, aResultThatIsGoneIsMadeAgain)
+Test(Forwarder, missingResultIsProducedAgain)
 {
     ForwarderFixture fixture;
     fixture.pieces = { 1, 1 };
     fixture.submit("staged");
     fixture.endBatch(fixture.batches.at(0), start + 217ms);
     fixture.endBatch(fixture.batches.at(1), start + 434ms);
-    fixture.end(fixture.sent.at(0).call, ForwardCallEnd::InputGone, start + 440ms);
+    fixture.endCall(fixture.sent.at(0).call, ForwardCallEnd::InputGone, start + 440ms);
     cr_assert_eq(fixture.batches.size(), 3);
     cr_assert_eq(fixture.batches[2].service.value(), "portal");
 }
 
-Test(Forwarder, aServerThatCallersLeaveWithoutAnAnswerIsSuspected)
+Test(Forwarder, serverIsSuspectedAfterCallersGiveUpOnItsSilence)
 {
     ForwarderFixture fixture;
     fixture.submit("once");
     const auto silent = fixture.sent.at(0).server.id;
-    std::size_t remaining = 0;
+    std::size_t disconnects = 0;
     for (int i = 0; i < 12; ++i) {
         const auto now = start + i * 10ms;
         const auto id = fixture.submit("once", now);
         const auto& call = fixture.sent.back();
         if (call.server.id != silent)
             continue;
-        ++remaining;
+        ++disconnects;
         fixture.collectActions([&](auto& out) { fixture.forwarder->onCallerLeft(id, now + 2s, out); });
-        if (remaining == 2)
+        if (disconnects == 2)
             break;
     }
-    cr_assert_eq(remaining, 2);
+    cr_assert_eq(disconnects, 2);
     const auto before = fixture.sent.size();
     for (int i = 0; i < 12; ++i)
         fixture.submit("once", start + 2200ms);
@@ -398,35 +398,35 @@
         cr_assert_neq(fixture.sent[i].server.id, silent);
 }
 
-Test(Forwarder, aCallerThatLeavesEndsAllWork)
+Test(Forwarder, callerDisconnectCancelsAllWork)
 {
     ForwarderFixture fixture;
     const auto plain = fixture.submit("safe");
     fixture.collectActions([&](auto& out) { fixture.forwarder->onCallerLeft(plain, start + 10ms, out); });
-    cr_assert_eq(fixture.stopped.size(), 1);
+    cr_assert_eq(fixture.cancelled.size(), 1);
     fixture.pieces = { 1, 1 };
     const auto staged = fixture.submit("staged", start + 20ms);
     fixture.collectActions([&](auto& out) { fixture.forwarder->onCallerLeft(staged, start + 30ms, out); });
     fixture.endBatch(fixture.batches.at(0), start + 240ms);
     cr_assert_eq(fixture.batches.size(), 1);
-    cr_assert_eq(fixture.released.size(), 1, "a result that nobody waits for is released");
+    cr_assert_eq(fixture.released.size(), 1, "the result of a cancelled request is released");
     cr_assert_eq(fixture.forwarder->status(start).requests, 0);
 }
 
-Test(Forwarder, theTimeLimitEndsARequestWithWhatIsTrue)
+Test(Forwarder, timeoutReportsWhetherTheRequestMayHaveRun)
 {
     ForwarderFixture fixture;
     fixture.submit("book");
     fixture.runTimers(start + 8s);
-    cr_assert_eq(fixture.replies.at(0).response.status, 504, "it may have run");
+    cr_assert_eq(fixture.replies.at(0).response.status, 504, "the request may have run");
     fixture.servers.clear();
     fixture.collectActions([&](auto& out) { fixture.forwarder->setServers({}, start, out); });
     fixture.submit("book", start, 200ms);
     fixture.runTimers(start + 200ms);
-    cr_assert_eq(fixture.replies.at(1).response.status, 503, "it never left");
+    cr_assert_eq(fixture.replies.at(1).response.status, 503, "the request was never sent");
 }
 
-Test(Forwarder, whatCannotBeServedInTimeIsRefusedAtOnce)
+Test(Forwarder, requestExpectedToMissItsDeadlineIsRejectedImmediately)
 {
     ForwarderFixture fixture;
     fixture.pieces = { 10, 1 };
@@ -438,11 +438,11 @@
     for (const auto& it : fixture.replies) {
         cr_assert_eq(it.response.status, 503);
         cr_assert_gt(it.retryAfter, Duration {});
-        cr_assert_leq(it.retryAfter, 1s, "a third of the caller's time");
+        cr_assert_leq(it.retryAfter, 1s, "Retry-After is at most a third of the caller's timeout");
     }
 }
 
-Test(Forwarder, aStoppingInstanceRefusesWhatIsNewAndEndsWhatItHas)
+Test(Forwarder, stoppingInstanceRejectsNewRequestsAndFinishesOthers)
 {
     ForwarderFixture fixture;
     fixture.submit("book");
@@ -450,36 +450,36 @@
     fixture.submit("book", start + 1s);
     cr_assert_eq(fixture.sent.size(), 1);
     cr_assert_eq(fixture.replies.at(0).end, ForwardEnd::ShuttingDown);
-    fixture.end(fixture.sent[0].call, ForwardCallEnd::Complete, start + 2s);
+    fixture.endCall(fixture.sent[0].call, ForwardCallEnd::Complete, start + 2s);
     cr_assert_eq(fixture.replies.at(1).response.status, 200);
 }
 
-Test(Forwarder, aServersOwnFailureIsPassedOnWhereNoOtherServerMayBeAsked)
+Test(Forwarder, serverErrorIsForwardedAfterTheLastAllowedRetry)
 {
     ForwarderFixture fixture;
     fixture.submit("safe");
-    fixture.end(fixture.sent[0].call, ForwardCallEnd::Complete, start + 20ms, 500);
-    cr_assert_eq(fixture.sent.size(), 2, "a safe request may run again");
-    fixture.end(fixture.sent[1].call, ForwardCallEnd::Complete, start + 40ms, 500);
+    fixture.endCall(fixture.sent[0].call, ForwardCallEnd::Complete, start + 20ms, 500);
+    cr_assert_eq(fixture.sent.size(), 2, "an idempotent request may run again");
+    fixture.endCall(fixture.sent[1].call, ForwardCallEnd::Complete, start + 40ms, 500);
     cr_assert_eq(fixture.replies.at(0).response.status, 500);
     cr_assert_eq(fixture.replies[0].end, ForwardEnd::Answered);
 }
 
-Test(Forwarder, aRepeatTakesTheBudgetOnce)
+Test(Forwarder, retryIsChargedToTheBudgetOnce)
 {
     ForwarderFixture fixture;
     for (int i = 0; i < 200; ++i)
         fixture.servers.push_back(server("more" + std::to_string(i), "desk"));
     fixture.collectActions([&](auto& out) { fixture.forwarder->setServers(fixture.servers, start, out); });
-    // One instance may repeat 0.8 of 50 calls and of 0.2 for each first one.
+    // One instance may use 0.8 of the 50 additional retries and of the 0.2 retries per first call.
     std::size_t repeats = 0;
     for (int i = 0; i < 60; ++i) {
         const auto before = fixture.sent.size();
         fixture.submit("safe");
-        fixture.end(fixture.sent[before].call, ForwardCallEnd::Complete, start + 1ms, 500);
+        fixture.endCall(fixture.sent[before].call, ForwardCallEnd::Complete, start + 1ms, 500);
         repeats += fixture.sent.size() - before - 1;
         if (fixture.sent.size() > before + 1)
-            fixture.end(fixture.sent[before + 1].call, ForwardCallEnd::Complete, start + 2ms);
+            fixture.endCall(fixture.sent[before + 1].call, ForwardCallEnd::Complete, start + 2ms);
     }
     cr_assert_geq(repeats, 40);
     cr_assert_leq(repeats, 50);
--- a/src/foxtailwheel/serving/PoolPolicy.cpp
+++ b/src/foxtailwheel/serving/PoolPolicy.cpp
@@ -12,10 +12,10 @@
     constexpr double hedgeFallbackFactor = 3;
     constexpr Duration minHedgeDelay = 2ms;
     constexpr Duration streamSilenceTimeout = 1s;
-    /// Budget taken by a retry of a call that never started, which cost a server nothing.
+    /// Cost of retrying a call that never started, which used no server time; 1 is a full attempt.
     constexpr double unstartedRetryCost = 0.05;
-    /// Most extra attempts saved up while little goes wrong: the calls in progress at a fifth of the servers an
-    /// instance uses all break when those die at once.
+    /// Maximum attempts accumulated in the budget. Covers the simultaneous failure of a fifth of the servers that an
+    /// instance uses, which breaks all calls in progress there.
     constexpr double retryBudgetCapacity = 32;
 
     const routing::ServerPool* poolOf(const Catalog& catalog, const ServiceId& service)
--- a/src/foxtailwheel/serving/PoolPolicy.h
+++ b/src/foxtailwheel/serving/PoolPolicy.h
@@ -10,20 +10,21 @@
 
 namespace foxtailwheel::serving {
 
-/// @brief What runs ask about times and extra attempts, answered from the pools of the configuration in force.
+/// @brief Timeouts, hedging delays and the retry budget of runs, based on the server pools of the active configuration.
 ///
-/// Thread-safe; takes locks of pools only.
+/// Thread-safe; acquires no locks other than its own and those of pools.
 class PoolPolicy final : public pipeline::RunPolicy {
 public:
-    /// @param catalog Gives the configuration in force.
-    /// @param extraShare Hedges and costly retries for each first attempt; 0 for none.
+    /// @param catalog Returns the active configuration.
+    /// @param hedging False disables hedging.
+    /// @param retryRatio Hedges and costly retries allowed per first attempt; 0 for none.
     PoolPolicy(std::function<std::shared_ptr<const Catalog>()> catalog, bool hedging, double retryRatio);
 
     Duration expectedTime(const pipeline::Stage& stage) const override;
     std::optional<Duration> hedgeDelay(const pipeline::Stage& stage) const override;
     Duration progressLimit(const pipeline::Stage& stage) const override;
     bool takeExtra(const pipeline::Stage& stage, bool costly) override;
-    /// @brief A first attempt was sent while its pool was used to `utilization`.
+    /// @brief Credits the retry budget for a first attempt, sent at the given utilization of its pool.
     void earn(double utilization);
 
 private:
--- a/src/foxtailwheel/serving/RoutingForwarder.h
+++ b/src/foxtailwheel/serving/RoutingForwarder.h
@@ -10,16 +10,16 @@
 
 namespace foxtailwheel::serving {
 
-/// @brief Number of milliseconds or the like, as it is written in logs.
+/// @brief Formats a number for logs, truncated to an integer.
 std::string formatInteger(double n);
 
-/// @brief Status of an answer that the forwarder gives itself.
-unsigned httpStatus(ForwardEnd end);
+/// @brief HTTP status of a response that the forwarder itself creates.
+unsigned httpStatus(ForwardEnd outcome);
 
-/// @brief What a timer is for.
+/// @brief Purpose of a timer.
 enum class TimerKind { Deadline, FindServer, Hedge, StreamSilence, Dispatch };
 
-/// @brief One thing that is due at a time; ignored where its run or call has ended.
+/// @brief A scheduled timer; ignored if its run or call has ended.
 struct Timer {
     TimerKind kind = TimerKind::Deadline;
     ForwardId run;
@@ -27,19 +27,22 @@
     ServiceId service;
 };
 
-/// @brief Longest time that callers of a route came with lately.
+/// @brief Longest timeout that callers of a route sent recently.
 struct CallerTimeout {
     Duration timeout {};
     TimePoint expiresAt;
 };
 
-/// @brief The stage that a group of pieces belongs to.
+/// @brief A stage of a run, to which a group of pieces belongs.
 struct StageRef {
     ForwardId run;
     StageIndex stage = 0;
 };
 
-/// @brief The forwarder; its members stand in one file for each job: requests, stages, calls, time.
+/// @brief Implementation of `Forwarder`.
+///
+/// The methods are split by concern: ForwardRequests.cpp (admission and completion), ForwardStages.cpp,
+/// ForwardCalls.cpp, Forwarder.cpp (configuration, members and timers).
 class RoutingForwarder final : public Forwarder {
 public:
     explicit RoutingForwarder(ForwarderOptions options)
@@ -68,8 +71,9 @@
     void onCallerLeft(ForwardId id, TimePoint now, ForwardActions& out) override;
     void onHead(CallId call, http::Response head, TimePoint now, ForwardActions& out) override;
     void onData(CallId call, std::string_view bytes, TimePoint now, ForwardActions& out) override;
-    void onEnd(CallId call, ForwardCallEnd end, http::Response response, TimePoint now, ForwardActions& out) override;
-    void onBatchEnd(CallId call, BatchEnd end, const std::vector<PieceResult>& results, TimePoint now,
+    void onEnd(
+        CallId call, ForwardCallEnd outcome, http::Response response, TimePoint now, ForwardActions& out) override;
+    void onBatchEnd(CallId call, BatchEnd outcome, const std::vector<PieceResult>& results, TimePoint now,
         ForwardActions& out) override;
     void onLoad(CallId call, const ToldLoad& load, TimePoint now) override;
     void onTime(TimePoint now, ForwardActions& out) override;
@@ -124,16 +128,16 @@
     bool trySend(ForwardRun& run, bool retry, TimePoint now, ForwardActions& out);
     void closeCall(
         ForwardRun& run, CallId call, routing::CallSign outcome, bool stop, TimePoint now, ForwardActions& out);
-    void onCallNotRun(ForwardRun& run, ForwardCallEnd end, TimePoint now, ForwardActions& out);
-    void onCallBroken(ForwardRun& run, ForwardCallEnd end, TimePoint now, ForwardActions& out);
-    void retryOnOtherServer(ForwardRun& run, TimePoint now, ForwardActions& out);
+    void onCallNotRun(ForwardRun& run, ForwardCallEnd outcome, TimePoint now, ForwardActions& out);
+    void onCallBroken(ForwardRun& run, ForwardCallEnd outcome, TimePoint now, ForwardActions& out);
+    void resendRequest(ForwardRun& run, TimePoint now, ForwardActions& out);
     void onResponseComplete(ForwardRun& run, http::Response response, TimePoint now, ForwardActions& out);
     void failOverStream(ForwardRun& run, TimePoint now, ForwardActions& out);
 
-    void refuse(ForwardRun& run, ForwardEnd end, Duration retryAfter, TimePoint now, ForwardActions& out);
-    void finishStream(ForwardRun& run, ForwardEnd end, TimePoint now, ForwardActions& out);
+    void refuse(ForwardRun& run, ForwardEnd outcome, Duration retryAfter, TimePoint now, ForwardActions& out);
+    void finishStream(ForwardRun& run, ForwardEnd outcome, TimePoint now, ForwardActions& out);
     void closeRun(ForwardRun& run, TimePoint now, ForwardActions& out);
-    void fail(ForwardRun& run, ForwardEnd end, TimePoint now, ForwardActions& out);
+    void fail(ForwardRun& run, ForwardEnd outcome, TimePoint now, ForwardActions& out);
     void onTimer(const Timer& timer, TimePoint now, ForwardActions& out);
     void onDeadline(ForwardRun& run, TimePoint now, ForwardActions& out);
 
@@ -150,8 +154,9 @@
     std::unordered_map<PieceGroupId, StageRef> m_groups;
     std::multimap<TimePoint, Timer> m_timers;
     std::unordered_map<std::string, CallerTimeout> m_callerTimeouts; ///< By route.
-    std::unordered_map<std::string, SmoothedTime> m_timesToFirstByte; ///< From sending to the first event, by route.
-    std::map<ServiceId, TimePoint> m_dispatchTimers; ///< When the queue of a service is looked at next.
+    std::unordered_map<std::string, SmoothedTime>
+        m_timesToFirstByte; ///< From sending a call to the head of its response, by route.
+    std::map<ServiceId, TimePoint> m_dispatchTimers; ///< Next dispatch of each service's queue.
     TimePoint m_credentialsConfirmedAt {};
     std::uint64_t m_lastRunId = 0;
     std::uint64_t m_lastCallId = 0;
--- a/src/foxtailwheel/serving/ServerDirectory.cpp
+++ b/src/foxtailwheel/serving/ServerDirectory.cpp
@@ -8,16 +8,17 @@
 
     using namespace std::chrono_literals;
 
-    /// Time of a plain call until it is measured.
+    /// Assumed duration of a plain call until measurements are available.
     constexpr Duration typicalCallTime = 20ms;
 
+    /// Returns the fraction of all servers that are in `zone`.
     double shareOf(const std::map<AvailabilityZoneId, std::size_t>& servers, const AvailabilityZoneId& zone)
     {
         double all = 0;
         for (const auto& it : servers)
             all += static_cast<double>(it.second);
-        const auto there = servers.find(zone);
-        return there == servers.end() || all == 0 ? 0 : static_cast<double>(there->second) / all;
+        const auto found = servers.find(zone);
+        return found == servers.end() || all == 0 ? 0 : static_cast<double>(found->second) / all;
     }
 
 } // namespace
@@ -86,7 +87,7 @@
 
 void ServerDirectory::configure(const config::RouteTable& table)
 {
-    // A service that was dropped keeps its state: requests of the configuration before may still use it.
+    // Removed services keep their state, since requests that started under an older configuration may still use them.
     for (const auto& it : table.services) {
         m_routedServices[it.id] = it;
         auto found = m_services.find(it.id);
--- a/src/foxtailwheel/serving/ServerDirectory.h
+++ b/src/foxtailwheel/serving/ServerDirectory.h
@@ -9,37 +9,40 @@
 
 namespace foxtailwheel::serving {
 
-/// @brief One routed service: its servers, the budget of repeated calls, and the queue of its pieces.
+/// @brief One routed service: its server pool, retry budget and queue of pieces.
 struct ServiceState {
     std::unique_ptr<routing::ServerPool> pool;
     limits::WindowBudget retryBudget;
-    std::unique_ptr<BatchQueue> batchQueue; ///< Present for services of stages.
+    std::unique_ptr<BatchQueue> batchQueue; ///< Null for services that no stage uses.
     std::vector<AnnouncedServer> announced;
 };
 
-/// @brief The services that are routed to, kept in step with the configuration and the announced servers.
+/// @brief Tracks the routed services, following the configuration and the announced servers.
 class ServerDirectory {
 public:
-    /// @param newCall Gives the number of the next call.
+    /// @param allocateCallId Returns the id for the next call.
     ServerDirectory(const ForwarderOptions& options, std::function<CallId()> allocateCallId);
 
-    /// @brief Takes the services of a configuration; those that stay keep what is known of them.
+    /// @brief Applies the services of a configuration. Existing services keep their state.
     void configure(const config::RouteTable& table);
     /// @brief Replaces the announced servers.
     void setServers(const std::vector<AnnouncedServer>& servers);
-    /// @brief Sets the number of live instances, which share budgets and slots.
+    /// @brief Sets the number of live instances, which share the retry budgets.
     void setInstanceCount(std::size_t n);
 
-    /// @brief The service, or null where the configuration does not name it.
+    /// @brief Returns the service, or null if it is unknown.
     ServiceState* find(const ServiceId& id);
-    /// @brief Share of each zone in the servers of the scarcest of `stages`, for zones that have servers of `target`.
+    /// @brief Returns a weight for each zone that has servers of `target`: the smallest share of servers that the zone
+    /// has in any of `stages`. Zones of weight 0 are left out.
     std::map<AvailabilityZoneId, double> zoneShares(const std::vector<ServiceId>& stages, const ServiceId& target);
-    /// @brief All services, in the order of their names.
+    /// @brief Returns all services, ordered by id.
     std::map<ServiceId, ServiceState>& services() { return m_services; }
 
 private:
     ServiceState makeState(const config::RoutedService& service);
+    /// Builds the declaration that a server pool is created from.
     config::Service toService(const config::RoutedService& service, const std::vector<AnnouncedServer>& servers) const;
+    /// Returns declarations that hold only the links from this instance's zone to the zones of `servers`.
     config::Declarations crossZoneLinks(const std::vector<AnnouncedServer>& servers) const;
     void updateService(const config::RoutedService& service, ServiceState& state);
 
