--- a/include/foxtailwheel/serving/Catalog.h
+++ b/include/foxtailwheel/serving/Catalog.h
@@ -18,8 +18,7 @@
     std::unordered_map<PipelineId, std::shared_ptr<const pipeline::Plan>> plans;
     std::unordered_map<ServiceId, std::shared_ptr<routing::ServerPool>> pools;
     std::unordered_map<ClientAccountId, const config::ClientAccount*> accounts;
-    std::unordered_map<std::string, const config::ClientAccount*>
-        credentials; ///< Keyed by the SHA-256 of the credential.
+    std::unordered_map<std::string, const config::ClientAccount*> credentials; ///< Keyed by credential SHA-256.
 };
 
 /// @brief Builds the snapshot of a configuration. Pools of services that still exist are reused from `previous`.
--- a/include/foxtailwheel/serving/Forwarder.h
+++ b/include/foxtailwheel/serving/Forwarder.h
@@ -150,16 +150,14 @@
 /// @brief Options of request forwarding.
 struct ForwarderOptions {
     routing::PoolOptions pools;
-    Duration crossZoneDelay
-        = std::chrono::milliseconds(5); ///< One-way network delay between availability zones, as specified.
-    double retryShare = 0.2; ///< Retries per first call, over all instances; limit of the operators.
-    double retryExtra = 50; ///< Additional retries per window, over all instances; limit of the operators.
+    Duration crossZoneDelay = std::chrono::milliseconds(5); ///< One-way network delay, as specified.
+    double retryShare = 0.2; ///< Retries per first call, over all instances; limit set by the operators.
+    double retryExtra = 50; ///< Additional retries per window, over all instances; limit set by the operators.
     Duration retryWindow = std::chrono::seconds(10);
-    Duration credentialLife
-        = std::chrono::milliseconds(4500); ///< Maximum age of the last confirmation of the credentials.
+    Duration credentialLife = std::chrono::milliseconds(4500); ///< Maximum age of their last confirmation.
     bool batchAcrossInstances = true; ///< Disabled only to measure the effect of batches shared by instances.
     bool admissionControl = true; ///< Disabled only to measure the effect of early rejection.
-    bool affinity = true; ///< Disabled only to measure the effect of prompt caches.
+    bool affinity = true; ///< Disabled only to measure the effect of cached prompts.
     bool hedging = true; ///< Hedged calls and failover of silent streams; disabled only to measure their effect.
     NoteSink note; ///< May be empty.
 };
@@ -203,9 +201,9 @@
     virtual void onPeerLost(const InstanceId& instance, TimePoint now, ForwardActions& out) = 0;
     /// @brief Rejects all new requests from now on; requests in progress continue.
     virtual void stopAccepting() = 0;
-    /// @brief Returns the id for the next request.
+    /// @brief Allocates the id for a request.
     virtual ForwardId newRequest() = 0;
-    /// @brief Starts a request under an id from `newRequestId`.
+    /// @brief Starts a request under an id from `allocateRequestId`.
     virtual void submit(ForwardId id, ForwardRequest request, TimePoint now, ForwardActions& out) = 0;
     /// @brief The caller disconnected: cancels all work for its request.
     virtual void onCallerLeft(ForwardId id, TimePoint now, ForwardActions& out) = 0;
@@ -227,7 +225,7 @@
     virtual void onLoad(CallId call, const ToldLoad& load, TimePoint now) = 0;
     /// @brief Runs all timers that are due.
     virtual void onTime(TimePoint now, ForwardActions& out) = 0;
-    /// @brief Returns when `runDueTimers` must be called next.
+    /// @brief Returns when `onTimer` must be called next.
     virtual TimePoint nextTime() const = 0;
 
     virtual ForwarderStatus status(TimePoint now) const = 0;
--- a/src/foxtailwheel/serving/Forwarder.cpp
+++ b/src/foxtailwheel/serving/Forwarder.cpp
@@ -125,14 +125,14 @@
     while (!m_timers.empty() && m_timers.begin()->first <= now) {
         const auto timer = m_timers.begin()->second;
         m_timers.erase(m_timers.begin());
-        onTimer(timer, now, out);
+        handleTimer(timer, now, out);
     }
     BrokerActions actions;
     m_broker.onTime(now, actions);
     applyBrokerActions(std::move(actions), now, out);
 }
 
-void RoutingForwarder::onTimer(const Timer& timer, TimePoint now, ForwardActions& out)
+void RoutingForwarder::handleTimer(const Timer& timer, TimePoint now, ForwardActions& out)
 {
     if (timer.kind == TimerKind::Dispatch) {
         m_dispatchTimers.erase(timer.service);
--- a/src/foxtailwheel/serving/PoolPolicy.cpp
+++ b/src/foxtailwheel/serving/PoolPolicy.cpp
@@ -18,16 +18,16 @@
     /// instance uses, which breaks all calls in progress there.
     constexpr double retryBudgetCapacity = 32;
 
-    const routing::ServerPool* poolOf(const Catalog& catalog, const ServiceId& service)
+    const routing::ServerPool* poolOf(const Catalog& snapshot, const ServiceId& service)
     {
-        const auto it = catalog.pools.find(service);
-        return it == catalog.pools.end() ? nullptr : it->second.get();
+        const auto it = snapshot.pools.find(service);
+        return it == snapshot.pools.end() ? nullptr : it->second.get();
     }
 
 } // namespace
 
-PoolPolicy::PoolPolicy(std::function<std::shared_ptr<const Catalog>()> catalog, bool hedging, double retryRatio)
-    : m_catalog(std::move(catalog))
+PoolPolicy::PoolPolicy(std::function<std::shared_ptr<const Catalog>()> currentSnapshot, bool hedging, double retryRatio)
+    : m_currentSnapshot(std::move(currentSnapshot))
     , m_hedging(hedging)
     , m_retryBudget(retryRatio, retryRatio > 0 ? retryBudgetCapacity : 0)
 {
@@ -35,8 +35,8 @@
 
 Duration PoolPolicy::expectedTime(const pipeline::Stage& stage) const
 {
-    const auto catalog = m_catalog();
-    const auto* pool = poolOf(*catalog, stage.service);
+    const auto snapshot = m_currentSnapshot();
+    const auto* pool = poolOf(*snapshot, stage.service);
     return pool == nullptr ? stage.typicalTime : pool->expectedTime();
 }
 
@@ -45,8 +45,8 @@
     if (!m_hedging)
         return std::nullopt;
     const auto fallback = fromSeconds(toSeconds(stage.typicalTime) * hedgeFallbackFactor);
-    const auto catalog = m_catalog();
-    const auto* pool = poolOf(*catalog, stage.service);
+    const auto snapshot = m_currentSnapshot();
+    const auto* pool = poolOf(*snapshot, stage.service);
     const auto delay = pool == nullptr ? fallback : pool->timeQuantile(hedgeQuantile, fallback);
     return std::max(delay, minHedgeDelay);
 }
--- a/src/foxtailwheel/serving/PoolPolicy.h
+++ b/src/foxtailwheel/serving/PoolPolicy.h
@@ -15,10 +15,10 @@
 /// Thread-safe; acquires no locks other than its own and those of pools.
 class PoolPolicy final : public pipeline::RunPolicy {
 public:
-    /// @param catalog Returns the active configuration.
+    /// @param currentSnapshot Returns the active configuration.
     /// @param hedging False disables hedging.
     /// @param retryRatio Hedges and costly retries allowed per first attempt; 0 for none.
-    PoolPolicy(std::function<std::shared_ptr<const Catalog>()> catalog, bool hedging, double retryRatio);
+    PoolPolicy(std::function<std::shared_ptr<const Catalog>()> currentSnapshot, bool hedging, double retryRatio);
 
     Duration expectedTime(const pipeline::Stage& stage) const override;
     std::optional<Duration> hedgeDelay(const pipeline::Stage& stage) const override;
@@ -28,7 +28,7 @@
     void earn(double utilization);
 
 private:
-    std::function<std::shared_ptr<const Catalog>()> m_catalog;
+    std::function<std::shared_ptr<const Catalog>()> m_currentSnapshot;
     bool m_hedging;
     std::mutex m_mutex;
     limits::ExtraBudget m_retryBudget;
--- a/src/foxtailwheel/serving/RoutingForwarder.h
+++ b/src/foxtailwheel/serving/RoutingForwarder.h
@@ -138,7 +138,7 @@
     void finishStream(ForwardRun& run, ForwardEnd outcome, TimePoint now, ForwardActions& out);
     void closeRun(ForwardRun& run, TimePoint now, ForwardActions& out);
     void fail(ForwardRun& run, ForwardEnd outcome, TimePoint now, ForwardActions& out);
-    void onTimer(const Timer& timer, TimePoint now, ForwardActions& out);
+    void handleTimer(const Timer& timer, TimePoint now, ForwardActions& out);
     void onDeadline(ForwardRun& run, TimePoint now, ForwardActions& out);
 
     ForwarderOptions m_options;
