--- a/src/foxtailwheel/serving/ForwardCalls.cpp
+++ b/src/foxtailwheel/serving/ForwardCalls.cpp
@@ -9,29 +9,31 @@
 
     using namespace std::chrono_literals;
 
-    /// Calls that ended without running before a request is given up; each one is an arrival at the service.
-    constexpr std::uint32_t mostRefusals = 3;
-    /// Pause between looks for a usable server.
-    constexpr Duration serverRetryPause = 25ms;
-    /// Share of a plain request's goal after which a second server is asked.
-    constexpr double secondAttemptShare = 0.5;
-    /// Share of a resumable stream's goal without its first event after which it is moved.
-    constexpr double moveShare = 0.6;
-    /// Least time without the first event after which a stream is moved.
-    constexpr Duration leastMoveDelay = 900ms;
-    /// Pause within a resumable stream after which it is moved; callers leave after two seconds.
-    constexpr Duration streamSilence = 1100ms;
-    /// Part of its time that a request must have left to be worth sending.
-    constexpr Duration leastTimeToSend = 5ms;
-    /// A call without a first event counts as broken after this multiple of the route's usual time, and this time.
-    constexpr double silentShare = 4;
-    constexpr Duration leastSilence = 1s;
-    /// Time from sending a request to the first event of its answer, until it is measured.
-    constexpr Duration initialAnswerTime = 150ms;
+    /// Maximum calls that end without running before a request fails. Each of them adds load to the service.
+    constexpr std::uint32_t maxUnexecutedCalls = 3;
+    /// Interval between attempts to find a usable server.
+    constexpr Duration serverRetryInterval = 25ms;
+    /// Fraction of the latency target after which a hedged call is sent for a request without streaming.
+    constexpr double hedgeDelayShare = 0.5;
+    /// Fraction of the latency target after which a resumable stream without a first event fails over.
+    constexpr double failoverDelayShare = 0.6;
+    /// Minimum time without a first event before a stream fails over.
+    constexpr Duration minFailoverDelay = 900ms;
+    /// Time without data after which a resumable stream fails over. Callers disconnect after two seconds.
+    constexpr Duration streamSilenceTimeout = 1100ms;
+    /// Requests with less remaining time than this are not sent.
+    constexpr Duration minRemainingTimeToSend = 5ms;
+    /// A call counts as silent without a first event after this multiple of the route's usual time to the first byte,
+    /// but not before `minSilence`.
+    constexpr double silenceFactor = 4;
+    constexpr Duration minSilence = 1s;
+    /// Assumed time to the first byte until measurements are available.
+    constexpr Duration initialTimeToFirstByte = 150ms;
 
 } // namespace
 
-/// Requests of the same subject meet at the same server: the part before the last is the one they share.
+/// Returns the key by which related requests are sent to the same server. Related prompts share all parts except the
+/// last, so the key is the part before it.
 std::optional<std::uint64_t> RoutingForwarder::affinityOf(const ForwardRun& run) const
 {
     const auto& prompt = run.request.prompt;
@@ -42,211 +44,215 @@
 
 void RoutingForwarder::sendRequest(ForwardRun& run, TimePoint now, ForwardActions& out)
 {
-    if (run.timeLeft(now) < leastTimeToSend) {
+    if (run.remainingTime(now) < minRemainingTimeToSend) {
         fail(run, run.mayHaveRun ? ForwardEnd::TimedOut : ForwardEnd::TimedOutWaiting, now, out);
         return;
     }
-    if (!sendTo(run, !run.tried.empty(), now, out))
-        setTimer(now + serverRetryPause, { TimerKind::FindServer, run.id, {}, {} });
+    if (!trySend(run, !run.triedServers.empty(), now, out))
+        setTimer(now + serverRetryInterval, { TimerKind::FindServer, run.id, {}, {} });
 }
 
-bool RoutingForwarder::sendTo(ForwardRun& run, bool again, TimePoint now, ForwardActions& out)
+/// Sends the request to a server, preferably one that it was not sent to before. Returns false if none is available.
+bool RoutingForwarder::trySend(ForwardRun& run, bool retry, TimePoint now, ForwardActions& out)
 {
     auto* state = m_directory.find(run.service);
     if (state == nullptr)
         return false;
-    routing::PlacementRequest wanted;
-    wanted.avoid = run.tried;
-    wanted.careful = !run.idempotent();
-    wanted.affinity = affinityOf(run);
-    wanted.zone = run.homeZone;
-    const auto placement = state->pool->place(wanted, now);
+    routing::PlacementRequest placementRequest;
+    placementRequest.avoid = run.triedServers;
+    placementRequest.careful = !run.idempotent();
+    placementRequest.affinity = affinityOf(run);
+    placementRequest.zone = run.homeZone;
+    const auto placement = state->pool->place(placementRequest, now);
     if (!placement)
         return false;
-    if (!std::exchange(run.budgetEarned, true))
-        state->budget.earn(now);
-    const auto call = newCall();
+    if (!std::exchange(run.retryBudgetCredited, true))
+        state->retryBudget.earn(now);
+    const auto call = allocateCallId();
     const auto& server = placement->server;
     run.calls.push_back({ call, server.id, now, false });
-    run.tried.push_back(server.id);
-    ++run.started;
+    run.triedServers.push_back(server.id);
+    ++run.possibleExecutions;
     run.mayHaveRun = true;
     m_calls[call] = run.id;
-    SendForward send { call, run.id, server, run.request.message, run.request.name, run.account, run.timeLeft(now),
-        run.priority, run.inputs(), run.lastEvent, run.route->streams, run.idempotent(), run.deadline };
-    note(run, "request_sent",
-        { { "call", std::to_string(call.value()) }, { "server", server.id.value() }, { "again", again ? "1" : "0" },
-            { "after_ms", logNumber(toMilliseconds(now - run.acceptedAt)) },
-            { "expected_ms", logNumber(toMilliseconds(placement->expected)) } });
+    SendForward send { call, run.id, server, run.request.message, run.request.name, run.account, run.remainingTime(now),
+        run.priority, run.inputs(), run.lastEventId, run.route->streams, run.idempotent(), run.deadline };
+    logDecision(run, "request_sent",
+        { { "call", std::to_string(call.value()) }, { "server", server.id.value() }, { "again", retry ? "1" : "0" },
+            { "after_ms", formatInteger(toMilliseconds(now - run.acceptedAt)) },
+            { "expected_ms", formatInteger(toMilliseconds(placement->expected)) } });
     out.emplace_back(std::move(send));
-    if (run.idempotent() && m_options.secondAttempts) {
+    if (run.idempotent() && m_options.hedging) {
         const auto goal = toSeconds(run.route->goal);
-        const auto delay = run.route->streams ? std::max(leastMoveDelay, fromSeconds(goal * moveShare))
-                                              : fromSeconds(goal * secondAttemptShare);
-        setTimer(now + delay, { TimerKind::SecondAttempt, run.id, call, {} });
+        const auto delay = run.route->streams ? std::max(minFailoverDelay, fromSeconds(goal * failoverDelayShare))
+                                              : fromSeconds(goal * hedgeDelayShare);
+        setTimer(now + delay, { TimerKind::Hedge, run.id, call, {} });
     }
     return true;
 }
 
-/// Ends a call in the run's and the pool's books.
+/// Removes a call from the run and reports its outcome to the server pool.
+/// @param stop Cancels the call as well.
 void RoutingForwarder::closeCall(
-    ForwardRun& run, CallId call, routing::CallSign sign, bool stop, TimePoint now, ForwardActions& out)
+    ForwardRun& run, CallId call, routing::CallSign outcome, bool stop, TimePoint now, ForwardActions& out)
 {
     const auto it
         = std::find_if(run.calls.begin(), run.calls.end(), [call](const OpenCall& c) { return c.id == call; });
     if (it == run.calls.end())
         return;
     if (auto* state = m_directory.find(run.service))
-        state->pool->ended(it->server, { sign, now - it->sentAt, {} }, now);
+        state->pool->ended(it->server, { outcome, now - it->sentAt, {} }, now);
     if (stop)
         out.emplace_back(StopForward { call });
     m_calls.erase(call);
     run.calls.erase(it);
 }
 
-/// Time from the last stage's results to the first event of an answer, as it is for most requests of the route.
-Duration RoutingForwarder::answerTime(const ForwardRun& run) const
+/// Returns the time to the first byte that most requests of the route stay within, from sending the call.
+Duration RoutingForwarder::usualTimeToFirstByte(const ForwardRun& run) const
 {
-    const auto it = m_answerTimes.find(run.route->name);
-    return it == m_answerTimes.end() ? initialAnswerTime : it->second.usual();
+    const auto it = m_timesToFirstByte.find(run.route->name);
+    return it == m_timesToFirstByte.end() ? initialTimeToFirstByte : it->second.usual();
 }
 
-/// Whether a server has not answered for so long that it is a sign against it, though the caller ended the call.
+/// Returns true if a server has been silent for so long that the call counts as failed, although the caller ended it.
 bool RoutingForwarder::isSilent(const ForwardRun& run, const OpenCall& call, TimePoint now) const
 {
-    const auto limit = std::max(leastSilence, fromSeconds(toSeconds(answerTime(run)) * silentShare));
-    return !call.headSeen && now - call.sentAt > limit;
+    const auto limit = std::max(minSilence, fromSeconds(toSeconds(usualTimeToFirstByte(run)) * silenceFactor));
+    return !call.headReceived && now - call.sentAt > limit;
 }
 
-void RoutingForwarder::learnAnswerTime(const ForwardRun& run, const OpenCall& call, TimePoint now)
+void RoutingForwarder::recordTimeToFirstByte(const ForwardRun& run, const OpenCall& call, TimePoint now)
 {
-    const auto it = m_answerTimes.try_emplace(run.route->name, initialAnswerTime).first;
+    const auto it = m_timesToFirstByte.try_emplace(run.route->name, initialTimeToFirstByte).first;
     it->second.add(now - call.sentAt);
 }
 
 void RoutingForwarder::onHead(CallId call, http::Response head, TimePoint now, ForwardActions& out)
 {
-    auto* run = ownerOf(call);
+    auto* run = findRunOfCall(call);
     if (run == nullptr)
         return;
-    auto* open = run->findCall(call);
-    open->headSeen = true;
-    run->lastBytesAt = now;
-    learnAnswerTime(*run, *open, now);
-    // The first event shows that the server has read its inputs.
+    auto* openCall = run->findCall(call);
+    openCall->headReceived = true;
+    run->lastDataAt = now;
+    recordTimeToFirstByte(*run, *openCall, now);
+    // The first event proves that the server has read its inputs.
     for (StageIndex i = 0; i < run->stages.size(); ++i)
         releaseStage(*run, i, now, out);
     if (!run->route->streams)
         return;
-    note(*run, "stream_began",
-        { { "call", std::to_string(call.value()) }, { "after_ms", logNumber(toMilliseconds(now - run->acceptedAt)) } });
+    logDecision(*run, "stream_began",
+        { { "call", std::to_string(call.value()) },
+            { "after_ms", formatInteger(toMilliseconds(now - run->acceptedAt)) } });
     if (!std::exchange(run->headSent, true))
         out.emplace_back(ReplyHead { run->id, std::move(head) });
-    if (run->idempotent() && m_options.secondAttempts)
-        setTimer(now + streamSilence, { TimerKind::Silence, run->id, call, {} });
+    if (run->idempotent() && m_options.hedging)
+        setTimer(now + streamSilenceTimeout, { TimerKind::StreamSilence, run->id, call, {} });
 }
 
 void RoutingForwarder::onData(CallId call, std::string_view bytes, TimePoint now, ForwardActions& out)
 {
-    auto* run = ownerOf(call);
+    auto* run = findRunOfCall(call);
     if (run == nullptr || !run->headSent)
         return;
-    run->lastBytesAt = now;
-    std::string passed;
-    for (auto& event : run->events.feed(bytes)) {
-        // A server that resumes may repeat events that the caller has.
-        if (event.id && run->lastEvent && *event.id <= *run->lastEvent)
+    run->lastDataAt = now;
+    std::string forwarded;
+    for (auto& event : run->eventSplitter.feed(bytes)) {
+        // A resuming server may repeat events that the caller has already received.
+        if (event.id && run->lastEventId && *event.id <= *run->lastEventId)
             continue;
         if (event.id)
-            run->lastEvent = event.id;
-        passed += event.bytes;
+            run->lastEventId = event.id;
+        forwarded += event.bytes;
     }
-    if (!passed.empty())
-        out.emplace_back(ReplyBytes { run->id, std::move(passed) });
+    if (!forwarded.empty())
+        out.emplace_back(ReplyBytes { run->id, std::move(forwarded) });
 }
 
 void RoutingForwarder::onEnd(
-    CallId call, ForwardCallEnd end, http::Response response, TimePoint now, ForwardActions& out)
+    CallId call, ForwardCallEnd outcome, http::Response response, TimePoint now, ForwardActions& out)
 {
-    auto* run = ownerOf(call);
+    auto* run = findRunOfCall(call);
     if (run == nullptr)
         return;
-    const bool headSeen = run->findCall(call)->headSeen;
-    if (end != ForwardCallEnd::Complete)
-        note(*run, "call_failed",
-            { { "call", std::to_string(call.value()) }, { "end", std::string(toString(end)) },
+    const bool headReceived = run->findCall(call)->headReceived;
+    if (outcome != ForwardCallEnd::Complete)
+        logDecision(*run, "call_failed",
+            { { "call", std::to_string(call.value()) }, { "end", std::string(toString(outcome)) },
                 { "status", std::to_string(response.status) },
-                { "after_ms", logNumber(toMilliseconds(now - run->acceptedAt)) } });
-    switch (end) {
+                { "after_ms", formatInteger(toMilliseconds(now - run->acceptedAt)) } });
+    switch (outcome) {
     case ForwardCallEnd::Complete:
         closeCall(
             *run, call, response.status >= 500 ? routing::CallSign::Broken : routing::CallSign::Good, false, now, out);
-        if (run->route->streams && headSeen)
-            finishStream(*run, run->events.midEvent() ? ForwardEnd::StreamBroken : ForwardEnd::Answered, now, out);
+        if (run->route->streams && headReceived)
+            finishStream(
+                *run, run->eventSplitter.hasPartialEvent() ? ForwardEnd::StreamBroken : ForwardEnd::Answered, now, out);
         else
-            complete(*run, std::move(response), now, out);
+            onResponseComplete(*run, std::move(response), now, out);
         return;
     case ForwardCallEnd::NotSent:
     case ForwardCallEnd::Misdirected:
         closeCall(*run, call, routing::CallSign::Unreachable, false, now, out);
-        callNotRun(*run, end, now, out);
+        onCallNotRun(*run, outcome, now, out);
         return;
     case ForwardCallEnd::Refused:
         closeCall(*run, call, routing::CallSign::Busy, false, now, out);
-        callNotRun(*run, end, now, out);
+        onCallNotRun(*run, outcome, now, out);
         return;
     case ForwardCallEnd::InputGone:
         closeCall(*run, call, routing::CallSign::Good, false, now, out);
-        callNotRun(*run, end, now, out);
+        onCallNotRun(*run, outcome, now, out);
         return;
     case ForwardCallEnd::Broken:
     case ForwardCallEnd::TimedOut:
         closeCall(*run, call, routing::CallSign::Broken, false, now, out);
-        callBroken(*run, end, now, out);
+        onCallBroken(*run, outcome, now, out);
         return;
     }
 }
 
-/// The call certainly did not run, so another server may be asked even where a request may run only once.
-void RoutingForwarder::callNotRun(ForwardRun& run, ForwardCallEnd end, TimePoint now, ForwardActions& out)
+/// The call definitely did not run, so the request may be sent to another server even if it is not idempotent.
+void RoutingForwarder::onCallNotRun(ForwardRun& run, ForwardCallEnd outcome, TimePoint now, ForwardActions& out)
 {
-    --run.started;
-    run.mayHaveRun = run.started > 0;
+    --run.possibleExecutions;
+    run.mayHaveRun = run.possibleExecutions > 0;
     if (!run.calls.empty())
         return;
-    if (end == ForwardCallEnd::InputGone) {
-        run.tried.clear();
+    if (outcome == ForwardCallEnd::InputGone) {
+        run.triedServers.clear();
         restartStages(run, now, out);
         return;
     }
     auto* state = m_directory.find(run.service);
-    const bool arrived = end != ForwardCallEnd::NotSent;
-    if (++run.refusals > mostRefusals || (arrived && !state->budget.take(1, now))) {
+    const bool reachedServer = outcome != ForwardCallEnd::NotSent;
+    if (++run.unexecutedCalls > maxUnexecutedCalls || (reachedServer && !state->retryBudget.take(1, now))) {
         fail(run, run.mayHaveRun ? ForwardEnd::BackendFailed : ForwardEnd::NotStarted, now, out);
         return;
     }
     sendRequest(run, now, out);
 }
 
-/// The call may have run: only what may be repeated goes to another server.
-void RoutingForwarder::callBroken(ForwardRun& run, ForwardCallEnd end, TimePoint now, ForwardActions& out)
+/// The call may have run, so only idempotent requests are sent to another server.
+void RoutingForwarder::onCallBroken(ForwardRun& run, ForwardCallEnd outcome, TimePoint now, ForwardActions& out)
 {
     if (!run.calls.empty())
         return;
-    const auto failure = end == ForwardCallEnd::TimedOut ? ForwardEnd::TimedOut : ForwardEnd::BackendFailed;
+    const auto failure = outcome == ForwardCallEnd::TimedOut ? ForwardEnd::TimedOut : ForwardEnd::BackendFailed;
     auto* state = m_directory.find(run.service);
-    const bool allowed = run.idempotent() && run.started < run.route->maxServers;
-    if (!allowed || !state->budget.take(1, now)) {
+    const bool allowed = run.idempotent() && run.possibleExecutions < run.route->maxServers;
+    if (!allowed || !state->retryBudget.take(1, now)) {
         fail(run, run.headSent ? ForwardEnd::StreamBroken : failure, now, out);
         return;
     }
-    sendElsewhere(run, now, out);
+    resendRequest(run, now, out);
 }
 
-/// Sends a request once more; what its first call had released is made again before.
-void RoutingForwarder::sendElsewhere(ForwardRun& run, TimePoint now, ForwardActions& out)
+/// Sends a request again. If its stage results were already released, the stages are run again first.
+void RoutingForwarder::resendRequest(ForwardRun& run, TimePoint now, ForwardActions& out)
 {
-    run.events = {};
+    run.eventSplitter = {};
     const bool released
         = std::any_of(run.stages.begin(), run.stages.end(), [](const StageProgress& it) { return it.released; });
     if (released)
@@ -255,34 +261,35 @@
         sendRequest(run, now, out);
 }
 
-void RoutingForwarder::complete(ForwardRun& run, http::Response response, TimePoint now, ForwardActions& out)
+/// Forwards a complete response, or retries an idempotent request after a response with status 5xx.
+void RoutingForwarder::onResponseComplete(ForwardRun& run, http::Response response, TimePoint now, ForwardActions& out)
 {
     auto* state = m_directory.find(run.service);
     const bool failed = response.status >= 500;
-    const bool again = failed && run.idempotent() && run.started < run.route->maxServers && !run.headSent
-        && run.calls.empty() && run.timeLeft(now) > serverRetryPause;
-    if (again && state->budget.take(1, now)) {
-        note(run, "answer_not_used", { { "status", std::to_string(response.status) } });
-        sendElsewhere(run, now, out);
+    const bool retry = failed && run.idempotent() && run.possibleExecutions < run.route->maxServers && !run.headSent
+        && run.calls.empty() && run.remainingTime(now) > serverRetryInterval;
+    if (retry && state->retryBudget.take(1, now)) {
+        logDecision(run, "answer_not_used", { { "status", std::to_string(response.status) } });
+        resendRequest(run, now, out);
         return;
     }
     if (run.headSent) {
         finishStream(run, ForwardEnd::StreamBroken, now, out);
         return;
     }
-    note(run, "request_answered",
+    logDecision(run, "request_answered",
         { { "status", std::to_string(response.status) },
-            { "after_ms", logNumber(toMilliseconds(now - run.acceptedAt)) } });
+            { "after_ms", formatInteger(toMilliseconds(now - run.acceptedAt)) } });
     out.emplace_back(ReplyWhole { run.id, std::move(response), ForwardEnd::Answered, {} });
-    close(run, now, out);
+    closeRun(run, now, out);
 }
 
-/// Takes a stream away from a server that has gone silent and goes on at another.
-void RoutingForwarder::moveStream(ForwardRun& run, TimePoint now, ForwardActions& out)
+/// Cancels a stream whose server is silent and resumes it, preferably on another server.
+void RoutingForwarder::failOverStream(ForwardRun& run, TimePoint now, ForwardActions& out)
 {
     while (!run.calls.empty())
         closeCall(run, run.calls.front().id, routing::CallSign::Broken, true, now, out);
-    callBroken(run, ForwardCallEnd::TimedOut, now, out);
+    onCallBroken(run, ForwardCallEnd::TimedOut, now, out);
 }
 
 } // namespace foxtailwheel::serving
--- a/src/foxtailwheel/serving/PoolPolicy.cpp
+++ b/src/foxtailwheel/serving/PoolPolicy.cpp
@@ -10,33 +10,33 @@
 
     constexpr double hedgeQuantile = 0.95;
     constexpr double hedgeFallbackFactor = 3;
-    constexpr Duration shortestHedge = 2ms;
-    constexpr Duration streamSilenceLimit = 1s;
-    /// Budget taken by a retry of a call that never started, which cost a server nothing.
-    constexpr double cheapRetry = 0.05;
-    /// Most extra attempts saved up while little goes wrong: the calls in progress at a fifth of the servers an
-    /// instance uses all break when those die at once.
-    constexpr double savedExtras = 32;
+    constexpr Duration minHedgeDelay = 2ms;
+    constexpr Duration streamSilenceTimeout = 1s;
+    /// Cost of retrying a call that never started, which used no server time; 1 is a full attempt.
+    constexpr double unstartedRetryCost = 0.05;
+    /// Maximum attempts accumulated in the budget. Covers the simultaneous failure of a fifth of the servers that an
+    /// instance uses, which breaks all calls in progress there.
+    constexpr double retryBudgetCapacity = 32;
 
-    const routing::ServerPool* poolOf(const Catalog& catalog, const ServiceId& service)
+    const routing::ServerPool* poolOf(const Catalog& snapshot, const ServiceId& service)
     {
-        const auto it = catalog.pools.find(service);
-        return it == catalog.pools.end() ? nullptr : it->second.get();
+        const auto it = snapshot.pools.find(service);
+        return it == snapshot.pools.end() ? nullptr : it->second.get();
     }
 
 } // namespace
 
-PoolPolicy::PoolPolicy(std::function<std::shared_ptr<const Catalog>()> catalog, bool hedging, double extraShare)
-    : m_catalog(std::move(catalog))
+PoolPolicy::PoolPolicy(std::function<std::shared_ptr<const Catalog>()> currentSnapshot, bool hedging, double retryRatio)
+    : m_currentSnapshot(std::move(currentSnapshot))
     , m_hedging(hedging)
-    , m_budget(extraShare, extraShare > 0 ? savedExtras : 0)
+    , m_retryBudget(retryRatio, retryRatio > 0 ? retryBudgetCapacity : 0)
 {
 }
 
 Duration PoolPolicy::expectedTime(const pipeline::Stage& stage) const
 {
-    const auto catalog = m_catalog();
-    const auto* pool = poolOf(*catalog, stage.service);
+    const auto snapshot = m_currentSnapshot();
+    const auto* pool = poolOf(*snapshot, stage.service);
     return pool == nullptr ? stage.typicalTime : pool->expectedTime();
 }
 
@@ -45,27 +45,27 @@
     if (!m_hedging)
         return std::nullopt;
     const auto fallback = fromSeconds(toSeconds(stage.typicalTime) * hedgeFallbackFactor);
-    const auto catalog = m_catalog();
-    const auto* pool = poolOf(*catalog, stage.service);
+    const auto snapshot = m_currentSnapshot();
+    const auto* pool = poolOf(*snapshot, stage.service);
     const auto delay = pool == nullptr ? fallback : pool->timeQuantile(hedgeQuantile, fallback);
-    return std::max(delay, shortestHedge);
+    return std::max(delay, minHedgeDelay);
 }
 
 Duration PoolPolicy::progressLimit(const pipeline::Stage& /*stage*/) const
 {
-    return streamSilenceLimit;
+    return streamSilenceTimeout;
 }
 
 bool PoolPolicy::takeExtra(const pipeline::Stage& /*stage*/, bool costly)
 {
     const std::lock_guard lock(m_mutex);
-    return m_budget.take(costly ? 1 : cheapRetry);
+    return m_retryBudget.take(costly ? 1 : unstartedRetryCost);
 }
 
 void PoolPolicy::earn(double utilization)
 {
     const std::lock_guard lock(m_mutex);
-    m_budget.earn(utilization);
+    m_retryBudget.earn(utilization);
 }
 
 } // namespace foxtailwheel::serving
