--- a/include/foxtailwheel/limits/CapacityGate.h
+++ b/include/foxtailwheel/limits/CapacityGate.h
@@ -7,36 +7,38 @@
 
 namespace foxtailwheel::limits {
 
-/// @brief Part of a service's slots that one run keeps busy while it lasts.
+/// @brief Share of a service's slots that one run occupies until it ends.
 struct SlotHold {
     ServiceId service;
     double slots = 0;
 };
 
-/// @brief Bounds the work in progress for each service to this instance's share of its slots.
+/// @brief Limits the work in progress for each service to this instance's share of the service's slots.
 ///
-/// A run enters only where every service of its plan has room, so a later stage's overload holds back the first
-/// stage and work already paid for is finished. Not thread-safe.
+/// A run is admitted only if every service of its plan has free slots. Overload of a later stage therefore delays the
+/// first stage, and runs that have already used resources can finish. Not thread-safe.
 class CapacityGate {
 public:
-    /// @brief Sets the slots of a service that this instance may fill.
+    /// @brief Sets the number of slots of a service that this instance may use.
     void setLimit(const ServiceId& service, double slots);
-    /// @brief Enters where all holds fit; a service with nothing in progress takes one run of any size.
-    bool tryEnter(const std::vector<SlotHold>& holds);
-    /// @brief Gives back what `tryEnter` took.
-    void leave(const std::vector<SlotHold>& holds);
-    /// @brief Share of the slots in use, from 0.
+    /// @brief Reserves slots if all reservations fit, else reserves nothing. A service with no work in progress accepts
+    /// one run of any size.
+    /// @return True if the slots were reserved.
+    bool tryEnter(const std::vector<SlotHold>& reservations);
+    /// @brief Releases the slots that `tryAcquire` reserved.
+    void leave(const std::vector<SlotHold>& reservations);
+    /// @brief Fraction of the slots in use: 0 if idle, above 1 if a single run exceeds the limit.
     double utilization(const ServiceId& service) const;
-    /// @brief The limit of a service, in slots; 0 where it is unknown.
+    /// @brief Limit of a service, in slots; 0 if the service is unknown.
     double limit(const ServiceId& service) const;
 
 private:
-    struct Room {
+    struct SlotUsage {
         double limit = 0;
         double used = 0;
     };
 
-    std::unordered_map<ServiceId, Room> m_rooms;
+    std::unordered_map<ServiceId, SlotUsage> m_usage;
 };
 
 } // namespace foxtailwheel::limits
--- a/include/foxtailwheel/limits/ExtraBudget.h
+++ b/include/foxtailwheel/limits/ExtraBudget.h
@@ -2,24 +2,24 @@
 
 namespace foxtailwheel::limits {
 
-/// @brief Budget of hedges and retries as a share of the first attempts, not a count for each request.
+/// @brief Limits retries and hedges to a share of the first attempts, rather than to a count per request.
 ///
-/// The share shrinks as the pool fills, so that a loaded pool gets no retry storm. Not thread-safe.
+/// The share shrinks as the pool's utilization grows, which prevents retry storms. Not thread-safe.
 class ExtraBudget {
 public:
-    /// @param share Extra attempts allowed for each first attempt of an idle pool.
-    /// @param burst Most extra attempts saved up.
+    /// @param share Retries and hedges allowed per first attempt while the pool is idle.
+    /// @param burst Maximum number of retries and hedges that can accumulate.
     explicit ExtraBudget(double share, double burst = 10);
 
-    /// @brief A first attempt was started while the pool was used to `utilization` (0 idle, 1 full).
+    /// @brief Records a first attempt that started at the given pool utilization (0 idle, 1 full).
     void earn(double utilization);
-    /// @brief Takes `n` extra attempts where the budget allows them.
+    /// @brief Takes `n` retries or hedges from the budget; returns false and takes nothing if fewer remain.
     bool take(double n);
 
 private:
     double m_share;
     double m_burst;
-    double m_level;
+    double m_balance;
 };
 
 } // namespace foxtailwheel::limits
--- a/include/foxtailwheel/limits/FairQueue.h
+++ b/include/foxtailwheel/limits/FairQueue.h
@@ -12,56 +12,57 @@
 
 namespace foxtailwheel::limits {
 
-/// @brief One run that waits to be started.
+/// @brief A run that waits to be started.
 struct QueuedRun {
     RunId run;
-    double cost = 0; ///< Service time that it will take, in seconds.
+    double cost = 0; ///< Expected service time, in seconds.
     std::uint32_t priority = 0; ///< 0 is the most urgent.
     TimePoint deadline;
 };
 
 /// @brief Weighted fair queue over client accounts: start-time fair queueing by service time.
 ///
-/// Within an account runs leave by priority, then by deadline. Work-conserving: an idle account's share goes to the
-/// others. Costs are logarithmic in the number of waiting accounts; idle accounts hold no state for long.
-/// Not thread-safe.
+/// Runs of one account are ordered by priority, then by deadline. Work-conserving: the share of an idle account goes to
+/// the others. Operations take logarithmic time in the number of waiting accounts; the state of idle accounts is
+/// evicted periodically. Not thread-safe.
 class FairQueue {
 public:
-    /// @brief Adds a run of an account with the given weight, which is above 0.
+    /// @brief Adds a run of an account.
+    /// @param weight Weight of the account, above 0.
     void push(const ClientAccountId& account, double weight, const QueuedRun& run);
-    /// @brief The run that leaves next; empty where none waits.
+    /// @brief The next run; null if the queue is empty.
     const QueuedRun* front() const;
-    /// @brief Removes and returns the run that leaves next.
+    /// @brief Removes and returns the next run; empty if the queue is empty.
     std::optional<QueuedRun> pop();
-    /// @brief Removes the run that leaves next without charging its account, for runs that will not be started.
+    /// @brief Removes the next run without charging its account, for runs that will not be started.
     void drop();
-    /// @brief Service time that waits, in seconds.
+    /// @brief Total service time of the queued runs, in seconds.
     double waitingCost() const { return m_waitingCost; }
-    /// @brief Service time that leaves before a new run of `account` could, in seconds, by weighted shares.
+    /// @brief Estimates the service time, in seconds, that is dequeued before a new run of `account`.
     double costAhead(const ClientAccountId& account, double weight) const;
-    bool empty() const { return m_order.empty(); }
+    bool empty() const { return m_accountsByStartTag.empty(); }
     std::size_t size() const { return m_size; }
-    /// @brief Accounts that state is held for.
-    std::size_t accounts() const { return m_accounts.size(); }
+    /// @brief Number of accounts with state in memory.
+    std::size_t accountCount() const { return m_accounts.size(); }
 
 private:
     struct Account {
         double weight = 1;
-        double startTag = 0; ///< Virtual time from which the next run may leave.
-        double cost = 0;
+        double startTag = 0; ///< Virtual time at which the next run becomes eligible.
+        double queuedCost = 0;
         std::multimap<std::pair<std::uint32_t, TimePoint>, QueuedRun> runs;
     };
 
     QueuedRun remove(bool charge);
-    void sweep();
+    void evictIdleAccounts();
 
     std::unordered_map<ClientAccountId, Account> m_accounts;
-    std::set<std::pair<double, ClientAccountId>> m_order;
+    std::set<std::pair<double, ClientAccountId>> m_accountsByStartTag;
     double m_virtualTime = 0;
     double m_waitingCost = 0;
     double m_waitingWeight = 0;
     std::size_t m_size = 0;
-    std::size_t m_popsSinceSweep = 0;
+    std::size_t m_removalsSinceEviction = 0;
 };
 
 } // namespace foxtailwheel::limits
--- a/include/foxtailwheel/limits/RateLedger.h
+++ b/include/foxtailwheel/limits/RateLedger.h
@@ -8,35 +8,37 @@
 
 namespace foxtailwheel::limits {
 
-/// @brief Part of an account's rate for one instance.
-struct Allowance {
+/// @brief Share of an account's rate that is assigned to one instance.
+struct RateShare {
     InstanceId instance;
     double perSecond = 0;
-    bool asked = false; ///< The instance has demand, so it needs to be told.
+    bool asked = false; ///< The instance reported demand, so its share has to be sent to it.
 };
 
-/// @brief What the owner of an account knows of the demand on all instances; divides the rate by max-min fairness.
+/// @brief Divides the rate of an account among the instances by max-min fairness, using their reported demand.
 ///
-/// The parts of one division never add up to more than the rate. Not thread-safe.
+/// Used by the instance that owns the account. The shares of one allocation never add up to more than the rate.
+/// Not thread-safe.
 class RateLedger {
 public:
-    /// @brief Takes an instance's demand; it counts for `demandLife`.
+    /// @brief Sets the demand of an instance, in requests per second; it expires after `demandLifetime`.
     void demanded(const ClientAccountId& account, const InstanceId& instance, double perSecond, TimePoint now);
-    /// @brief Divides `rate` over `instances`: demands are met smallest first, and what is left goes to all evenly.
-    std::vector<Allowance> divide(
+    /// @brief Divides `rate`, in requests per second, among `instances`: demands are met smallest first, and the rest
+    /// is divided equally.
+    std::vector<RateShare> divide(
         const ClientAccountId& account, double rate, const std::vector<InstanceId>& instances, TimePoint now) const;
-    /// @brief Forgets demands that have lapsed.
+    /// @brief Removes expired demands.
     void sweep(TimePoint now);
-    /// @brief Accounts that have demand.
+    /// @brief Accounts with demand.
     std::vector<ClientAccountId> accounts() const;
 
-    /// @brief Time that a reported demand counts.
-    static constexpr Duration demandLife = std::chrono::seconds(3);
+    /// @brief Time after which a reported demand expires.
+    static constexpr Duration demandLifetime = std::chrono::seconds(3);
 
 private:
     struct Demand {
         double perSecond = 0;
-        TimePoint until {};
+        TimePoint expiresAt {};
     };
 
     std::unordered_map<ClientAccountId, std::unordered_map<InstanceId, Demand>> m_demands;
--- a/include/foxtailwheel/limits/RateLimiter.h
+++ b/include/foxtailwheel/limits/RateLimiter.h
@@ -9,46 +9,48 @@
 
 namespace foxtailwheel::limits {
 
-/// @brief Demand that one instance saw for a limited account.
+/// @brief Request rate that one instance received for a rate-limited account.
 struct AccountDemand {
     ClientAccountId account;
     double perSecond = 0;
 };
 
-/// @brief Local part of the accounts' request rates.
+/// @brief Enforces this instance's share of the accounts' request rates.
 ///
-/// An account starts with the rate divided by the number of instances; the account's owner moves the parts to where
-/// the demand is by `setAllowance`. State is held for accounts seen in the last minute only. Not thread-safe.
+/// An account starts with its rate divided by the number of instances; the instance that owns the account then assigns
+/// shares by demand with `setShare`. State is kept only for accounts with a request in the last minute.
+/// Not thread-safe.
 class RateLimiter {
 public:
-    /// @brief Takes one request of an account that is limited to `rate` per second over all instances.
-    /// @return Zero where it may pass, else the time until it may.
+    /// @brief Admits one request of an account that is limited to `rate` requests per second over all instances.
+    /// @return Zero if the request is admitted, else the time to wait before a retry.
     Duration take(const ClientAccountId& account, double rate, TimePoint now);
     /// @brief Sets the number of instances that share the rates.
-    void setInstances(std::size_t n) { m_instances = n == 0 ? 1 : n; }
-    /// @brief Takes the part that the owner gives this instance; it lapses after `allowanceLife`.
+    void setInstances(std::size_t n) { m_instanceCount = n == 0 ? 1 : n; }
+    /// @brief Sets the share that the account's owner assigned to this instance; it expires after `shareLifetime`.
     void setAllowance(const ClientAccountId& account, double perSecond, TimePoint now);
-    /// @brief Demand since the last call, for accounts that asked; forgets idle accounts.
+    /// @brief Returns the demand since the last call, for accounts with requests, and evicts idle accounts.
     std::vector<AccountDemand> drainDemand(TimePoint now);
-    std::size_t accounts() const { return m_accounts.size(); }
+    /// @brief Number of accounts with state in memory.
+    std::size_t accountCount() const { return m_accounts.size(); }
 
-    /// @brief Time after which an allowance that is not renewed lapses to the even part.
-    static constexpr Duration allowanceLife = std::chrono::seconds(5);
+    /// @brief Time after which an assigned share that is not renewed falls back to the equal share.
+    static constexpr Duration shareLifetime = std::chrono::seconds(5);
 
 private:
     struct Account {
         TokenBucket bucket;
         double rate = 0;
-        double allowance = 0;
-        TimePoint allowanceUntil {};
-        std::size_t asked = 0;
-        TimePoint lastAsked {};
+        double assignedShare = 0;
+        TimePoint assignedShareExpiresAt {};
+        std::size_t requestCount = 0;
+        TimePoint lastRequestAt {};
     };
 
-    double partOf(const Account& account, TimePoint now) const;
+    double currentShare(const Account& account, TimePoint now) const;
 
     std::unordered_map<ClientAccountId, Account> m_accounts;
-    std::size_t m_instances = 1;
+    std::size_t m_instanceCount = 1;
     TimePoint m_drainedAt {};
 };
 
--- a/include/foxtailwheel/limits/RateMeter.h
+++ b/include/foxtailwheel/limits/RateMeter.h
@@ -4,21 +4,21 @@
 
 namespace foxtailwheel::limits {
 
-/// @brief Rate of events, smoothed by an exponential window. Not thread-safe.
+/// @brief Measures the rate of events as an exponentially weighted moving average. Not thread-safe.
 class RateMeter {
 public:
     /// @param window Time constant of the smoothing.
     explicit RateMeter(Duration window = std::chrono::seconds(1));
 
-    /// @brief `n` events happened.
+    /// @brief Records `n` events.
     void add(double n, TimePoint now);
-    /// @brief Events per second.
+    /// @brief Smoothed rate, in events per second.
     double perSecond(TimePoint now) const;
 
 private:
     double m_windowSeconds;
-    double m_level = 0; ///< Events per second at `m_at`.
-    TimePoint m_at {};
+    double m_rate = 0; ///< Events per second at `m_updatedAt`.
+    TimePoint m_updatedAt {};
 };
 
 } // namespace foxtailwheel::limits
--- a/include/foxtailwheel/limits/TokenBucket.h
+++ b/include/foxtailwheel/limits/TokenBucket.h
@@ -4,29 +4,29 @@
 
 namespace foxtailwheel::limits {
 
-/// @brief Token bucket at injected time.
+/// @brief Token bucket rate limiter; the caller passes the current time. Not thread-safe.
 class TokenBucket {
 public:
     TokenBucket() = default;
     /// @param rate Tokens per second, above 0.
-    /// @param burst Most tokens held.
+    /// @param burst Capacity of the bucket, in tokens; the bucket starts full.
     TokenBucket(double rate, double burst, TimePoint now);
 
-    /// @brief Takes `n` tokens where they are there.
+    /// @brief Takes `n` tokens; returns false and takes nothing if fewer are available.
     bool take(double n, TimePoint now);
-    /// @brief Changes the rate and the burst from now on.
+    /// @brief Sets the rate and the burst from `now` on; tokens above the new burst are discarded.
     void setRate(double rate, double burst, TimePoint now);
-    /// @brief Time until `n` tokens are there.
-    Duration wait(double n, TimePoint now) const;
+    /// @brief Time until `n` tokens are available; zero if they already are or the rate is 0.
+    Duration timeUntilAvailable(double n, TimePoint now) const;
     double rate() const { return m_rate; }
 
 private:
-    double levelAt(TimePoint now) const;
+    double tokensAt(TimePoint now) const;
 
     double m_rate = 0;
     double m_burst = 0;
-    double m_level = 0;
-    TimePoint m_at {};
+    double m_tokens = 0;
+    TimePoint m_updatedAt {};
 };
 
 } // namespace foxtailwheel::limits
--- a/include/foxtailwheel/limits/WindowBudget.h
+++ b/include/foxtailwheel/limits/WindowBudget.h
@@ -6,34 +6,34 @@
 
 namespace foxtailwheel::limits {
 
-/// @brief Budget of repeated calls in any sliding window: a share of the first calls and a fixed part.
+/// @brief Limits retries over a sliding window to a share of the first calls plus a fixed number.
 ///
-/// All instances share the budget, so each takes its part by the number of instances. Not thread-safe.
+/// The fixed number is divided equally among the instances. Not thread-safe.
 class WindowBudget {
 public:
-    /// @param share Repeated calls allowed for each first call.
-    /// @param extra Repeated calls allowed besides, over all instances.
+    /// @param share Retries allowed per first call.
+    /// @param fixedRetries Additional retries allowed per window, over all instances.
     /// @param window Length of the window.
-    WindowBudget(double share, double extra, Duration window);
+    WindowBudget(double share, double fixedRetries, Duration window);
 
-    /// @brief A first call was sent.
+    /// @brief Records a first call.
     void earn(TimePoint now);
-    /// @brief Takes `n` repeated calls where the window still has room.
+    /// @brief Takes `n` retries from the budget; returns false and takes nothing if fewer remain.
     bool take(std::size_t n, TimePoint now);
-    /// @brief Sets the number of instances that share the fixed part.
-    void setInstances(std::size_t n) { m_instances = n == 0 ? 1 : n; }
-    /// @brief Repeated calls that may still be made now.
-    double left(TimePoint now);
+    /// @brief Sets the number of instances that share the fixed number of retries.
+    void setInstances(std::size_t n) { m_instanceCount = n == 0 ? 1 : n; }
+    /// @brief Number of retries that remain in the window that ends now; negative if the budget is exceeded.
+    double remaining(TimePoint now);
 
 private:
-    void expire(TimePoint now);
+    void evictExpired(TimePoint now);
 
     double m_share;
-    double m_extra;
+    double m_fixedRetries;
     Duration m_window;
-    std::size_t m_instances = 1;
-    std::deque<TimePoint> m_first;
-    std::deque<TimePoint> m_repeated;
+    std::size_t m_instanceCount = 1;
+    std::deque<TimePoint> m_firstCalls;
+    std::deque<TimePoint> m_retries;
 };
 
 } // namespace foxtailwheel::limits
--- a/src/foxtailwheel/limits/CapacityGate.cpp
+++ b/src/foxtailwheel/limits/CapacityGate.cpp
@@ -6,45 +6,45 @@
 
 void CapacityGate::setLimit(const ServiceId& service, double slots)
 {
-    m_rooms[service].limit = slots;
+    m_usage[service].limit = slots;
 }
 
-bool CapacityGate::tryEnter(const std::vector<SlotHold>& holds)
+bool CapacityGate::tryEnter(const std::vector<SlotHold>& reservations)
 {
-    const bool fits = std::all_of(holds.begin(), holds.end(), [this](const SlotHold& it) {
-        const auto& room = m_rooms[it.service];
-        return room.used <= 0 || room.used + it.slots <= room.limit;
+    const bool fits = std::all_of(reservations.begin(), reservations.end(), [this](const SlotHold& it) {
+        const auto& usage = m_usage[it.service];
+        return usage.used <= 0 || usage.used + it.slots <= usage.limit;
     });
     if (!fits)
         return false;
-    for (const auto& it : holds)
-        m_rooms[it.service].used += it.slots;
+    for (const auto& it : reservations)
+        m_usage[it.service].used += it.slots;
     return true;
 }
 
-void CapacityGate::leave(const std::vector<SlotHold>& holds)
+void CapacityGate::leave(const std::vector<SlotHold>& reservations)
 {
-    constexpr double nothing = 1e-9;
-    for (const auto& it : holds) {
-        auto& used = m_rooms[it.service].used;
+    constexpr double roundingErrorSlots = 1e-9; // sums of fractional slots do not return to exactly 0
+    for (const auto& it : reservations) {
+        auto& used = m_usage[it.service].used;
         used -= it.slots;
-        if (used < nothing)
+        if (used < roundingErrorSlots)
             used = 0;
     }
 }
 
 double CapacityGate::utilization(const ServiceId& service) const
 {
-    const auto it = m_rooms.find(service);
-    if (it == m_rooms.end() || it->second.limit <= 0)
+    const auto it = m_usage.find(service);
+    if (it == m_usage.end() || it->second.limit <= 0)
         return 0;
     return it->second.used / it->second.limit;
 }
 
 double CapacityGate::limit(const ServiceId& service) const
 {
-    const auto it = m_rooms.find(service);
-    return it == m_rooms.end() ? 0 : it->second.limit;
+    const auto it = m_usage.find(service);
+    return it == m_usage.end() ? 0 : it->second.limit;
 }
 
 } // namespace foxtailwheel::limits
--- a/src/foxtailwheel/limits/ExtraBudget.cpp
+++ b/src/foxtailwheel/limits/ExtraBudget.cpp
@@ -7,21 +7,22 @@
 ExtraBudget::ExtraBudget(double share, double burst)
     : m_share(share)
     , m_burst(burst)
-    , m_level(burst)
+    , m_balance(burst)
 {
 }
 
 void ExtraBudget::earn(double utilization)
 {
-    const double room = std::clamp(1.25 - utilization, 0.0, 1.0);
-    m_level = std::min(m_burst, m_level + m_share * room);
+    constexpr double noCreditUtilization = 1.25; // first attempts at or above it add nothing to the budget
+    const double credit = std::clamp(noCreditUtilization - utilization, 0.0, 1.0);
+    m_balance = std::min(m_burst, m_balance + m_share * credit);
 }
 
 bool ExtraBudget::take(double n)
 {
-    if (m_level < n)
+    if (m_balance < n)
         return false;
-    m_level -= n;
+    m_balance -= n;
     return true;
 }
 
--- a/src/foxtailwheel/limits/RateLedger.cpp
+++ b/src/foxtailwheel/limits/RateLedger.cpp
@@ -6,39 +6,39 @@
 
 void RateLedger::demanded(const ClientAccountId& account, const InstanceId& instance, double perSecond, TimePoint now)
 {
-    m_demands[account][instance] = { perSecond, now + demandLife };
+    m_demands[account][instance] = { perSecond, now + demandLifetime };
 }
 
-std::vector<Allowance> RateLedger::divide(
+std::vector<RateShare> RateLedger::divide(
     const ClientAccountId& account, double rate, const std::vector<InstanceId>& instances, TimePoint now) const
 {
-    std::vector<Allowance> parts;
-    const auto known = m_demands.find(account);
+    std::vector<RateShare> shares;
+    const auto demands = m_demands.find(account);
     for (const auto& it : instances) {
         double demand = 0;
-        if (known != m_demands.end()) {
-            const auto at = known->second.find(it);
-            demand = at != known->second.end() && now < at->second.until ? at->second.perSecond : 0;
+        if (demands != m_demands.end()) {
+            const auto found = demands->second.find(it);
+            demand = found != demands->second.end() && now < found->second.expiresAt ? found->second.perSecond : 0;
         }
-        parts.push_back({ it, demand, demand > 0 });
+        shares.push_back({ it, demand, demand > 0 });
     }
     std::sort(
-        parts.begin(), parts.end(), [](const Allowance& a, const Allowance& b) { return a.perSecond < b.perSecond; });
-    double left = rate;
-    for (std::size_t i = 0; i < parts.size(); ++i) {
-        const double even = left / static_cast<double>(parts.size() - i);
-        parts[i].perSecond = std::min(parts[i].perSecond, even);
-        left -= parts[i].perSecond;
+        shares.begin(), shares.end(), [](const RateShare& a, const RateShare& b) { return a.perSecond < b.perSecond; });
+    double remaining = rate;
+    for (std::size_t i = 0; i < shares.size(); ++i) {
+        const double equalShare = remaining / static_cast<double>(shares.size() - i);
+        shares[i].perSecond = std::min(shares[i].perSecond, equalShare);
+        remaining -= shares[i].perSecond;
     }
-    for (auto& it : parts)
-        it.perSecond += left / static_cast<double>(parts.size());
-    return parts;
+    for (auto& it : shares)
+        it.perSecond += remaining / static_cast<double>(shares.size());
+    return shares;
 }
 
 void RateLedger::sweep(TimePoint now)
 {
     for (auto& it : m_demands)
-        std::erase_if(it.second, [now](const auto& demand) { return demand.second.until <= now; });
+        std::erase_if(it.second, [now](const auto& demand) { return demand.second.expiresAt <= now; });
     std::erase_if(m_demands, [](const auto& it) { return it.second.empty(); });
 }
 
--- a/src/foxtailwheel/limits/RateMeter.cpp
+++ b/src/foxtailwheel/limits/RateMeter.cpp
@@ -12,13 +12,13 @@
 
 double RateMeter::perSecond(TimePoint now) const
 {
-    return m_level * std::exp(-std::max(0.0, toSeconds(now - m_at)) / m_windowSeconds);
+    return m_rate * std::exp(-std::max(0.0, toSeconds(now - m_updatedAt)) / m_windowSeconds);
 }
 
 void RateMeter::add(double n, TimePoint now)
 {
-    m_level = perSecond(now) + n / m_windowSeconds;
-    m_at = now;
+    m_rate = perSecond(now) + n / m_windowSeconds;
+    m_updatedAt = now;
 }
 
 } // namespace foxtailwheel::limits
--- a/src/foxtailwheel/limits/WindowBudget.cpp
+++ b/src/foxtailwheel/limits/WindowBudget.cpp
@@ -4,10 +4,11 @@
 
 namespace {
 
-    /// Part of the budget that is used, so that windows which straddle an instance's count stay within it.
-    constexpr double usedShare = 0.8;
+    /// Fraction of the budget that is spent. The margin covers windows other than the one that is counted here: such a
+    /// window can contain a retry without the first calls that paid for it.
+    constexpr double spendableShare = 0.8;
 
-    void dropBefore(std::deque<TimePoint>& times, TimePoint start)
+    void evictBefore(std::deque<TimePoint>& times, TimePoint start)
     {
         while (!times.empty() && times.front() < start)
             times.pop_front();
@@ -15,37 +16,38 @@
 
 } // namespace
 
-WindowBudget::WindowBudget(double share, double extra, Duration window)
+WindowBudget::WindowBudget(double share, double fixedRetries, Duration window)
     : m_share(share)
-    , m_extra(extra)
+    , m_fixedRetries(fixedRetries)
     , m_window(window)
 {
 }
 
-void WindowBudget::expire(TimePoint now)
+void WindowBudget::evictExpired(TimePoint now)
 {
-    dropBefore(m_first, now - m_window);
-    dropBefore(m_repeated, now - m_window);
+    evictBefore(m_firstCalls, now - m_window);
+    evictBefore(m_retries, now - m_window);
 }
 
 void WindowBudget::earn(TimePoint now)
 {
-    expire(now);
-    m_first.push_back(now);
+    evictExpired(now);
+    m_firstCalls.push_back(now);
 }
 
-double WindowBudget::left(TimePoint now)
+double WindowBudget::remaining(TimePoint now)
 {
-    expire(now);
-    const double allowed = m_share * static_cast<double>(m_first.size()) + m_extra / static_cast<double>(m_instances);
-    return usedShare * allowed - static_cast<double>(m_repeated.size());
+    evictExpired(now);
+    const double allowed
+        = m_share * static_cast<double>(m_firstCalls.size()) + m_fixedRetries / static_cast<double>(m_instanceCount);
+    return spendableShare * allowed - static_cast<double>(m_retries.size());
 }
 
 bool WindowBudget::take(std::size_t n, TimePoint now)
 {
-    if (left(now) < static_cast<double>(n))
+    if (remaining(now) < static_cast<double>(n))
         return false;
-    m_repeated.insert(m_repeated.end(), n, now);
+    m_retries.insert(m_retries.end(), n, now);
     return true;
 }
 
--- a/src/foxtailwheel/limits/WindowBudgetTest.cpp
+++ b/src/foxtailwheel/limits/WindowBudgetTest.cpp
@@ -10,33 +10,34 @@
 constexpr TimePoint start { 1h };
 } // namespace
 
-Test(WindowBudget, instancesTogetherStayWithinAnyWindow)
+Test(SlidingWindowRetryBudget, allInstancesStayWithinTheBudgetOfEveryWindow)
 {
     constexpr double share = 0.2;
-    constexpr double extra = 58;
+    constexpr double fixedRetries = 58;
     constexpr std::size_t instances = 9;
-    std::vector<limits::WindowBudget> budgets(instances, limits::WindowBudget(share, extra, 10s));
-    std::deque<TimePoint> first;
-    std::deque<TimePoint> repeated;
+    std::vector<limits::WindowBudget> budgets(instances, limits::WindowBudget(share, fixedRetries, 10s));
+    std::deque<TimePoint> firstCalls;
+    std::deque<TimePoint> retries;
     for (auto& it : budgets)
         it.setInstances(instances);
     for (int tick = 0; tick < 4000; ++tick) {
         const auto now = start + tick * 10ms;
         auto& budget = budgets[static_cast<std::size_t>(tick) % instances];
         budget.earn(now);
-        first.push_back(now);
+        firstCalls.push_back(now);
         if (budget.take(1, now))
-            repeated.push_back(now);
-        while (first.front() < now - 10s)
-            first.pop_front();
-        while (!repeated.empty() && repeated.front() < now - 10s)
-            repeated.pop_front();
-        cr_assert_leq(static_cast<double>(repeated.size()), share * static_cast<double>(first.size()) + extra);
+            retries.push_back(now);
+        while (firstCalls.front() < now - 10s)
+            firstCalls.pop_front();
+        while (!retries.empty() && retries.front() < now - 10s)
+            retries.pop_front();
+        cr_assert_leq(
+            static_cast<double>(retries.size()), share * static_cast<double>(firstCalls.size()) + fixedRetries);
     }
-    cr_assert_gt(repeated.size(), 100);
+    cr_assert_gt(retries.size(), 100);
 }
 
-Test(WindowBudget, nothingIsTakenInPart)
+Test(SlidingWindowRetryBudget, rejectsARequestThatFitsOnlyInPart)
 {
     limits::WindowBudget budget(0, 10, 10s);
     cr_assert(!budget.take(9, start));
@@ -45,7 +46,7 @@
     cr_assert(budget.take(8, start + 11s));
 }
 
-Test(RateMeter, followsTheRate)
+Test(RateMeter, measuresRateAndDecays)
 {
     limits::RateMeter meter(1s);
     for (int i = 0; i < 500; ++i)
