--- a/include/foxtailwheel/control/ClaimCleaner.h
+++ b/include/foxtailwheel/control/ClaimCleaner.h
@@ -9,28 +9,28 @@
 
 namespace foxtailwheel::control {
 
-/// @brief Walks over the claims in the table, page by page, and deletes those that were kept for their whole life.
+/// @brief Scans the claims in the table page by page and deletes those past their retention.
 ///
-/// One instance does it at a time, but nothing depends on that: a row is deleted under the condition of its version.
-/// No I/O; not thread-safe.
+/// Normally one instance at a time does this. Concurrent cleaners are safe, because each deletion is conditional on the
+/// row's version. Performs no I/O; not thread-safe.
 class ClaimCleaner {
 public:
-    /// @brief The page that is due; empty while none is or one is on its way.
+    /// @brief The next page to read; empty if none is due or a read is pending.
     struct Page {
         std::string prefix;
         std::string after;
         std::size_t limit = 0;
     };
     std::optional<Page> duePage(TimePoint now);
-    /// @brief Takes a page; gives the transaction that deletes what has lapsed, where anything has.
-    std::optional<store::Transaction> onPage(const store::ReadResult& result, TimePoint now, WallTime calendar);
-    /// @brief Rows deleted so far.
+    /// @brief Handles a page; returns the transaction that deletes its expired rows, or empty if there are none.
+    std::optional<store::Transaction> onPage(const store::ReadResult& result, TimePoint now, WallTime wallNow);
+    /// @brief Number of rows in deletions so far.
     std::uint64_t deleted() const { return m_deleted; }
 
 private:
     std::string m_after;
-    bool m_waiting = false;
-    TimePoint m_dueAt {};
+    bool m_pagePending = false;
+    TimePoint m_nextPageAt {};
     std::uint64_t m_deleted = 0;
 };
 
--- a/include/foxtailwheel/control/ClaimKeeper.h
+++ b/include/foxtailwheel/control/ClaimKeeper.h
@@ -9,26 +9,26 @@
 
 namespace foxtailwheel::control {
 
-/// @brief Runs `work` after a delay; the driver's timer.
+/// @brief Runs a function after a delay.
 using Defer = std::function<void(Duration, std::function<void()>)>;
 
-/// @brief Makes and records claims through the table; thread-safe.
+/// @brief Inserts claims into the table and records their outcomes. Thread-safe.
 class ClaimKeeper {
 public:
-    /// @param table Must outlive the keeper, like `clock`.
+    /// @param table Must outlive the claim store, like `clock`.
     static std::unique_ptr<ClaimKeeper> create(
         store::Table& table, const Clock& clock, InstanceId self, std::uint64_t seed, Defer defer);
     virtual ~ClaimKeeper() = default;
 
-    /// @brief Claims; `done` is called once, soon after the call's deadline at the latest.
+    /// @brief Requests a claim; `done` is called once, shortly after the call's deadline at the latest.
     virtual void claim(const serving::ClaimCall& call, std::function<void(pipeline::ClaimResult)> done) = 0;
-    /// @brief Records how a claimed call ended; tried again while the table is away, for `recordPatience`.
+    /// @brief Records the outcome of a claimed call; retried for up to `recordRetryTimeout` on failure.
     virtual void end(const serving::EndClaim& ended) = 0;
-    /// @brief Records that are still on their way.
+    /// @brief Number of records that are not yet written.
     virtual std::size_t pendingRecords() const = 0;
 
-    /// @brief Longest time that a record is tried again.
-    static constexpr Duration recordPatience = std::chrono::minutes(15);
+    /// @brief Time after which a record is no longer retried.
+    static constexpr Duration recordRetryTimeout = std::chrono::minutes(15);
 };
 
 } // namespace foxtailwheel::control
--- a/src/foxtailwheel/control/Claim.cpp
+++ b/src/foxtailwheel/control/Claim.cpp
@@ -42,8 +42,8 @@
         { "holder", row.holder.value() },
         { "progress", progressNames.at(static_cast<std::size_t>(row.progress)) },
         { "answer", row.answer },
-        { "held_until_ms", toMilliseconds(row.heldUntil) },
-        { "kept_until_ms", toMilliseconds(row.keptUntil) },
+        { "held_until_ms", toMilliseconds(row.inProgressUntil) },
+        { "kept_until_ms", toMilliseconds(row.deleteAfter) },
     }
         .dump();
 }
@@ -61,68 +61,68 @@
     row.holder = InstanceId(textAt(node, "holder"));
     row.progress = static_cast<ClaimProgress>(name - progressNames.begin());
     row.answer = textAt(node, "answer");
-    row.heldUntil = fromMilliseconds(countAt(node, "held_until_ms"));
-    row.keptUntil = fromMilliseconds(countAt(node, "kept_until_ms"));
+    row.inProgressUntil = fromMilliseconds(countAt(node, "held_until_ms"));
+    row.deleteAfter = fromMilliseconds(countAt(node, "kept_until_ms"));
     return row;
 }
 
-ClaimMachine::ClaimMachine(std::string key, ClaimRow wanted)
+ClaimStateMachine::ClaimStateMachine(std::string key, ClaimRow requestedRow)
     : m_key(std::move(key))
-    , m_wanted(std::move(wanted))
+    , m_requestedRow(std::move(requestedRow))
 {
 }
 
-store::Transaction ClaimMachine::insertion() const
+store::Transaction ClaimStateMachine::insertTransaction() const
 {
-    return { { { m_key, std::nullopt } }, { { m_key, encodeClaimRow(m_wanted) } } };
+    return { { { m_key, std::nullopt } }, { { m_key, encodeClaimRow(m_requestedRow) } } };
 }
 
-void ClaimMachine::finish(ClaimState state, pipeline::Payload answer)
+void ClaimStateMachine::finish(ClaimState state, pipeline::Payload answer)
 {
     m_step = ClaimStep::Done;
     m_result = { state, std::move(answer) };
 }
 
-void ClaimMachine::judge(const store::Row& row, WallTime now)
+void ClaimStateMachine::evaluateExistingRow(const store::Row& row, WallTime now)
 {
     const auto held = decodeClaimRow(row.value);
     if (!held) {
         finish(ClaimState::Unknown);
         return;
     }
-    if (held->token == m_wanted.token) {
-        m_mayHold = true;
+    if (held->token == m_requestedRow.token) {
+        m_mayHaveInserted = true;
         finish(ClaimState::Granted);
         return;
     }
-    m_mayHold = false;
-    if (held->bodyHash != m_wanted.bodyHash)
+    m_mayHaveInserted = false;
+    if (held->bodyHash != m_requestedRow.bodyHash)
         finish(ClaimState::KeyReused);
     else if (held->progress == ClaimProgress::Answered)
         finish(ClaimState::Recorded, pipeline::payloadOf(held->answer));
-    else if (held->progress == ClaimProgress::Claimed && now < held->heldUntil)
+    else if (held->progress == ClaimProgress::Claimed && now < held->inProgressUntil)
         finish(ClaimState::InProgress);
     else
         finish(ClaimState::Unknown);
 }
 
-void ClaimMachine::onInsert(const store::TransactResult& result, WallTime now)
+void ClaimStateMachine::onInsert(const store::TransactResult& result, WallTime now)
 {
     if (m_step != ClaimStep::Insert)
         return;
     switch (result.end) {
     case TransactEnd::Applied:
-        m_mayHold = true;
+        m_mayHaveInserted = true;
         finish(ClaimState::Granted);
         return;
     case TransactEnd::ConditionFailed:
         if (result.conflicts.empty())
             m_step = ClaimStep::ReadBack;
         else
-            judge(result.conflicts.front(), now);
+            evaluateExistingRow(result.conflicts.front(), now);
         return;
     case TransactEnd::Ambiguous:
-        m_mayHold = true;
+        m_mayHaveInserted = true;
         m_step = ClaimStep::ReadBack;
         return;
     case TransactEnd::NotApplied:
@@ -130,23 +130,23 @@
     }
 }
 
-void ClaimMachine::onRead(const store::ReadResult& result, WallTime now)
+void ClaimStateMachine::onRead(const store::ReadResult& result, WallTime now)
 {
     if (m_step != ClaimStep::ReadBack || !result.answered)
         return;
     if (result.rows.empty())
         m_step = ClaimStep::Insert;
     else
-        judge(result.rows.front(), now);
+        evaluateExistingRow(result.rows.front(), now);
 }
 
-void ClaimMachine::expire()
+void ClaimStateMachine::onTimeout()
 {
     if (m_step != ClaimStep::Done)
         finish(ClaimState::Unavailable);
 }
 
-store::Transaction claimRecord(const std::string& key, const ClaimRow& held, std::uint64_t version,
+store::Transaction claimOutcomeTransaction(const std::string& key, const ClaimRow& held, std::uint64_t version,
     pipeline::ClaimEnd end, const pipeline::Payload& answer)
 {
     store::Transaction transaction { { { key, version } }, {} };
--- a/src/foxtailwheel/control/ClaimCleaner.cpp
+++ b/src/foxtailwheel/control/ClaimCleaner.cpp
@@ -8,36 +8,35 @@
 
     using namespace std::chrono_literals;
 
-    constexpr std::size_t pageRows = 500;
+    constexpr std::size_t rowsPerPage = 500;
     constexpr Duration pagePeriod = 2s;
-    /// Pause after the last page.
-    constexpr Duration roundPeriod = 10min;
+    /// Time between the last page of a scan and the first page of the next.
+    constexpr Duration scanPeriod = 10min;
 
 } // namespace
 
 std::optional<ClaimCleaner::Page> ClaimCleaner::duePage(TimePoint now)
 {
-    if (m_waiting || now < m_dueAt)
+    if (m_pagePending || now < m_nextPageAt)
         return std::nullopt;
-    m_waiting = true;
-    return Page { "claim/", m_after, pageRows };
+    m_pagePending = true;
+    return Page { "claim/", m_after, rowsPerPage };
 }
 
-std::optional<store::Transaction> ClaimCleaner::onPage(
-    const store::ReadResult& result, TimePoint now, WallTime calendar)
+std::optional<store::Transaction> ClaimCleaner::onPage(const store::ReadResult& result, TimePoint now, WallTime wallNow)
 {
-    m_waiting = false;
-    m_dueAt = now + pagePeriod;
+    m_pagePending = false;
+    m_nextPageAt = now + pagePeriod;
     if (!result.answered)
         return std::nullopt;
-    const bool last = result.rows.size() < pageRows;
+    const bool last = result.rows.size() < rowsPerPage;
     m_after = last ? std::string() : result.rows.back().key;
     if (last)
-        m_dueAt = now + roundPeriod;
+        m_nextPageAt = now + scanPeriod;
     store::Transaction transaction;
     for (const auto& it : result.rows) {
         const auto row = decodeClaimRow(it.value);
-        if (!row || calendar < row->keptUntil)
+        if (!row || wallNow < row->deleteAfter)
             continue;
         transaction.conditions.push_back({ it.key, it.version });
         transaction.writes.push_back({ it.key, std::nullopt });
--- a/src/foxtailwheel/control/ClaimCleanerTest.cpp
+++ b/src/foxtailwheel/control/ClaimCleanerTest.cpp
@@ -12,38 +12,38 @@
 constexpr TimePoint start { 1h };
 constexpr WallTime now { 1000s };
 
-store::Row rowKeptUntil(const std::string& key, WallTime until)
+store::Row makeRow(const std::string& key, WallTime until)
 {
     control::ClaimRow row;
     row.token = AttemptToken("t");
     row.progress = control::ClaimProgress::Answered;
-    row.keptUntil = until;
+    row.deleteAfter = until;
     return { key, control::encodeClaimRow(row), 2 };
 }
 
 } // namespace
 
-Test(ClaimCleaner, deletesOnlyWhatHasLapsed)
+Test(ClaimCleaner, deletesOnlyExpiredRows)
 {
     control::ClaimCleaner cleaner;
     cr_assert(cleaner.duePage(start).has_value());
     cr_assert(!cleaner.duePage(start).has_value());
     const auto transaction = cleaner.onPage(
-        { true, { rowKeptUntil("claim/a", now - 1s), rowKeptUntil("claim/b", now + 1s), { "claim/c", "garbled", 1 } } },
-        start, now);
+        { true, { makeRow("claim/a", now - 1s), makeRow("claim/b", now + 1s), { "claim/c", "garbled", 1 } } }, start,
+        now);
     cr_assert_eq(transaction->writes.size(), 1U);
     cr_assert_eq(transaction->writes.front().key, std::string("claim/a"));
     cr_assert_eq(*transaction->conditions.front().version, 2U);
     cr_assert_eq(cleaner.deleted(), 1U);
 }
 
-Test(ClaimCleaner, walksOnPageByPageAndStartsAnew)
+Test(ClaimCleaner, scansPageByPageAndRestarts)
 {
     control::ClaimCleaner cleaner;
     const auto page = cleaner.duePage(start);
     store::ReadResult full { true, {} };
     for (std::size_t i = 0; i < page->limit; ++i)
-        full.rows.push_back(rowKeptUntil("claim/" + std::to_string(1000 + i), now + 1s));
+        full.rows.push_back(makeRow("claim/" + std::to_string(1000 + i), now + 1s));
     cr_assert(!cleaner.onPage(full, start, now).has_value());
     cr_assert(!cleaner.duePage(start).has_value());
     const auto next = cleaner.duePage(start + 3s);
@@ -53,7 +53,7 @@
     cr_assert(cleaner.duePage(start + 20min)->after.empty());
 }
 
-Test(ClaimCleaner, aTableThatIsAwayLosesNoPlace)
+Test(ClaimCleaner, resumesAfterTheTableWasUnavailable)
 {
     control::ClaimCleaner cleaner;
     cleaner.duePage(start);
--- a/src/foxtailwheel/control/ClaimKeeper.cpp
+++ b/src/foxtailwheel/control/ClaimKeeper.cpp
@@ -12,19 +12,19 @@
     using namespace std::chrono_literals;
 
     constexpr Duration tableTimeout = 1s;
-    constexpr Duration firstPause = 20ms;
-    constexpr Duration longestPause = 2s;
-    /// Longest time after a run's deadline that its call may still end and be recorded.
-    constexpr std::chrono::milliseconds heldAfterDeadline = 45s;
+    constexpr Duration initialRetryDelay = 20ms;
+    constexpr Duration maxRetryDelay = 2s;
+    /// Maximum time after a run's deadline at which its call can still end and be recorded.
+    constexpr std::chrono::milliseconds recordGracePeriod = 45s;
 
-    class TableClaimKeeper final : public ClaimKeeper {
+    class TableClaimStore final : public ClaimKeeper {
     public:
-        TableClaimKeeper(store::Table& table, const Clock& clock, InstanceId self, std::uint64_t seed, Defer defer)
+        TableClaimStore(store::Table& table, const Clock& clock, InstanceId self, std::uint64_t seed, Defer runAfter)
             : m_table(table)
             , m_clock(clock)
             , m_self(std::move(self))
             , m_random(seed)
-            , m_defer(std::move(defer))
+            , m_runAfter(std::move(runAfter))
         {
         }
 
@@ -33,178 +33,181 @@
         std::size_t pendingRecords() const override;
 
     private:
-        /// A claim on its way through the table.
-        struct Claiming {
-            ClaimMachine machine;
+        /// A claim whose result is pending.
+        struct PendingClaim {
+            ClaimStateMachine machine;
             TimePoint deadline;
-            Duration pause = firstPause;
+            Duration retryDelay = initialRetryDelay;
             std::function<void(pipeline::ClaimResult)> done;
         };
-        /// A record on its way into the table.
-        struct Recording {
+        /// An outcome that is not yet written to the table.
+        struct PendingRecord {
             std::string key;
-            ClaimRow held;
+            ClaimRow row;
             pipeline::ClaimEnd end = pipeline::ClaimEnd::Unknown;
             pipeline::Payload answer;
-            TimePoint giveUpAt;
-            Duration pause = firstPause;
+            TimePoint retryUntil;
+            Duration retryDelay = initialRetryDelay;
         };
         using ClaimId = std::pair<RunId, StageIndex>;
 
-        void advance(const std::shared_ptr<Claiming>& claiming, ClaimId id);
-        void answered(const std::shared_ptr<Claiming>& claiming, ClaimId id, bool progressed);
-        void record(const std::shared_ptr<Recording>& recording);
-        void write(const std::shared_ptr<Recording>& recording, const store::Row& row);
-        void retryRecord(const std::shared_ptr<Recording>& recording);
-        void recorded();
-        Duration jittered(Duration pause);
+        void runStep(const std::shared_ptr<PendingClaim>& pending, ClaimId id);
+        void onTableResponse(const std::shared_ptr<PendingClaim>& pending, ClaimId id, bool progressed);
+        void readAndWrite(const std::shared_ptr<PendingRecord>& pending);
+        void writeRecord(const std::shared_ptr<PendingRecord>& pending, const store::Row& row);
+        void retryRecord(const std::shared_ptr<PendingRecord>& pending);
+        void onRecordDone();
+        Duration withJitter(Duration retryDelay);
 
         store::Table& m_table;
         const Clock& m_clock;
         InstanceId m_self;
         mutable std::mutex m_mutex;
         Random m_random;
-        Defer m_defer;
-        std::map<ClaimId, ClaimRow> m_held;
+        Defer m_runAfter;
+        std::map<ClaimId, ClaimRow> m_grantedClaims;
         std::size_t m_pendingRecords = 0;
     };
 
-    Duration TableClaimKeeper::jittered(Duration pause)
+    Duration TableClaimStore::withJitter(Duration retryDelay)
     {
         const std::lock_guard lock(m_mutex);
-        return fromSeconds(toSeconds(pause) * (0.5 + m_random.uniform()));
+        return fromSeconds(toSeconds(retryDelay) * (0.5 + m_random.uniform()));
     }
 
-    void TableClaimKeeper::claim(const serving::ClaimCall& call, std::function<void(pipeline::ClaimResult)> done)
+    void TableClaimStore::claim(const serving::ClaimCall& call, std::function<void(pipeline::ClaimResult)> done)
     {
         const auto now = m_clock.wallNow();
-        const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(call.deadline - m_clock.now());
-        ClaimRow row { {}, call.bodyHash, m_self, ClaimProgress::Claimed, {}, now + left + heldAfterDeadline,
-            now + claimLife };
+        const auto remaining = std::chrono::duration_cast<std::chrono::milliseconds>(call.deadline - m_clock.now());
+        ClaimRow row { {}, call.bodyHash, m_self, ClaimProgress::Claimed, {}, now + remaining + recordGracePeriod,
+            now + claimRetention };
         {
             const std::lock_guard lock(m_mutex);
             row.token = AttemptToken(m_random.token());
         }
-        auto claiming = std::make_shared<Claiming>(Claiming {
-            ClaimMachine(claimRowKey(call.key), std::move(row)), call.deadline, firstPause, std::move(done) });
-        advance(claiming, { call.run, call.stage });
+        auto pending
+            = std::make_shared<PendingClaim>(PendingClaim { ClaimStateMachine(claimRowKey(call.key), std::move(row)),
+                call.deadline, initialRetryDelay, std::move(done) });
+        runStep(pending, { call.run, call.stage });
     }
 
-    void TableClaimKeeper::advance(const std::shared_ptr<Claiming>& claiming, ClaimId id)
+    void TableClaimStore::runStep(const std::shared_ptr<PendingClaim>& pending, ClaimId id)
     {
-        const auto until = std::min(claiming->deadline, m_clock.now() + tableTimeout);
-        if (claiming->machine.step() == ClaimStep::Insert) {
-            m_table.transact(
-                claiming->machine.insertion(), until, [this, claiming, id](const store::TransactResult& result) {
-                    claiming->machine.onInsert(result, m_clock.wallNow());
-                    answered(claiming, id, result.end != store::TransactEnd::NotApplied);
+        const auto callDeadline = std::min(pending->deadline, m_clock.now() + tableTimeout);
+        if (pending->machine.step() == ClaimStep::Insert) {
+            m_table.transact(pending->machine.insertTransaction(), callDeadline,
+                [this, pending, id](const store::TransactResult& result) {
+                    pending->machine.onInsert(result, m_clock.wallNow());
+                    onTableResponse(pending, id, result.end != store::TransactEnd::NotApplied);
                 });
             return;
         }
-        m_table.read(claiming->machine.key(), until, [this, claiming, id](const store::ReadResult& result) {
-            claiming->machine.onRead(result, m_clock.wallNow());
-            answered(claiming, id, result.answered);
+        m_table.read(pending->machine.key(), callDeadline, [this, pending, id](const store::ReadResult& result) {
+            pending->machine.onRead(result, m_clock.wallNow());
+            onTableResponse(pending, id, result.answered);
         });
     }
 
-    void TableClaimKeeper::answered(const std::shared_ptr<Claiming>& claiming, ClaimId id, bool progressed)
+    void TableClaimStore::onTableResponse(const std::shared_ptr<PendingClaim>& pending, ClaimId id, bool progressed)
     {
-        if (m_clock.now() >= claiming->deadline)
-            claiming->machine.expire();
-        if (claiming->machine.step() != ClaimStep::Done) {
-            const auto pause = progressed
+        if (m_clock.now() >= pending->deadline)
+            pending->machine.onTimeout();
+        if (pending->machine.step() != ClaimStep::Done) {
+            const auto retryDelay = progressed
                 ? Duration {}
-                : std::min(jittered(claiming->pause), std::max<Duration>(claiming->deadline - m_clock.now(), 1ms));
-            claiming->pause = std::min(claiming->pause * 2, longestPause);
-            m_defer(pause, [this, claiming, id] {
-                if (m_clock.now() < claiming->deadline)
-                    advance(claiming, id);
+                : std::min(withJitter(pending->retryDelay), std::max<Duration>(pending->deadline - m_clock.now(), 1ms));
+            pending->retryDelay = std::min(pending->retryDelay * 2, maxRetryDelay);
+            m_runAfter(retryDelay, [this, pending, id] {
+                if (m_clock.now() < pending->deadline)
+                    runStep(pending, id);
                 else
-                    answered(claiming, id, false);
+                    onTableResponse(pending, id, false);
             });
             return;
         }
-        const auto& machine = claiming->machine;
+        const auto& machine = pending->machine;
         const bool granted = machine.result().state == pipeline::ClaimState::Granted;
         if (granted) {
             const std::lock_guard lock(m_mutex);
-            m_held.emplace(id, machine.wanted());
-        } else if (machine.mayHold()) {
-            const auto recording = std::make_shared<Recording>(Recording { machine.key(), machine.wanted(),
-                pipeline::ClaimEnd::NotStarted, nullptr, m_clock.now() + recordPatience });
+            m_grantedClaims.emplace(id, machine.requestedRow());
+        } else if (machine.mayHaveInserted()) {
+            const auto record = std::make_shared<PendingRecord>(PendingRecord { machine.key(), machine.requestedRow(),
+                pipeline::ClaimEnd::NotStarted, nullptr, m_clock.now() + recordRetryTimeout });
             const std::lock_guard lock(m_mutex);
             ++m_pendingRecords;
-            m_defer(firstPause, [this, recording] { record(recording); });
+            m_runAfter(initialRetryDelay, [this, record] { readAndWrite(record); });
         }
-        claiming->done(machine.result());
+        pending->done(machine.result());
     }
 
-    void TableClaimKeeper::end(const serving::EndClaim& ended)
+    void TableClaimStore::end(const serving::EndClaim& ended)
     {
-        auto recording = std::make_shared<Recording>();
+        auto pending = std::make_shared<PendingRecord>();
         {
             const std::lock_guard lock(m_mutex);
-            const auto it = m_held.find({ ended.run, ended.stage });
-            if (it == m_held.end())
+            const auto it = m_grantedClaims.find({ ended.run, ended.stage });
+            if (it == m_grantedClaims.end())
                 return;
-            recording->held = std::move(it->second);
-            m_held.erase(it);
+            pending->row = std::move(it->second);
+            m_grantedClaims.erase(it);
             ++m_pendingRecords;
         }
-        recording->key = claimRowKey(ended.key);
-        recording->end = ended.end;
-        recording->answer = ended.answer;
-        recording->giveUpAt = m_clock.now() + recordPatience;
-        // A row that was just inserted has version 1; the condition fails and the row is read where it has not.
-        write(recording, { recording->key, {}, 1 });
+        pending->key = claimRowKey(ended.key);
+        pending->end = ended.end;
+        pending->answer = ended.answer;
+        pending->retryUntil = m_clock.now() + recordRetryTimeout;
+        // A newly inserted row has version 1. If the version differs, the condition fails and the row is read.
+        writeRecord(pending, { pending->key, {}, 1 });
     }
 
-    void TableClaimKeeper::record(const std::shared_ptr<Recording>& recording)
+    void TableClaimStore::readAndWrite(const std::shared_ptr<PendingRecord>& pending)
     {
-        m_table.read(recording->key, m_clock.now() + tableTimeout, [this, recording](const store::ReadResult& result) {
+        m_table.read(pending->key, m_clock.now() + tableTimeout, [this, pending](const store::ReadResult& result) {
             if (!result.answered) {
-                retryRecord(recording);
+                retryRecord(pending);
                 return;
             }
-            const auto held = result.rows.empty() ? std::nullopt : decodeClaimRow(result.rows.front().value);
-            const bool own = held && held->token == recording->held.token && held->progress == ClaimProgress::Claimed;
+            const auto current = result.rows.empty() ? std::nullopt : decodeClaimRow(result.rows.front().value);
+            const bool own
+                = current && current->token == pending->row.token && current->progress == ClaimProgress::Claimed;
             if (own)
-                write(recording, result.rows.front());
+                writeRecord(pending, result.rows.front());
             else
-                recorded();
+                onRecordDone();
         });
     }
 
-    void TableClaimKeeper::write(const std::shared_ptr<Recording>& recording, const store::Row& row)
+    void TableClaimStore::writeRecord(const std::shared_ptr<PendingRecord>& pending, const store::Row& row)
     {
-        auto transaction = claimRecord(recording->key, recording->held, row.version, recording->end, recording->answer);
-        m_table.transact(std::move(transaction), m_clock.now() + tableTimeout,
-            [this, recording](const store::TransactResult& result) {
+        auto transaction
+            = claimOutcomeTransaction(pending->key, pending->row, row.version, pending->end, pending->answer);
+        m_table.transact(
+            std::move(transaction), m_clock.now() + tableTimeout, [this, pending](const store::TransactResult& result) {
                 if (result.end == store::TransactEnd::Applied)
-                    recorded();
+                    onRecordDone();
                 else
-                    retryRecord(recording);
+                    retryRecord(pending);
             });
     }
 
-    void TableClaimKeeper::retryRecord(const std::shared_ptr<Recording>& recording)
+    void TableClaimStore::retryRecord(const std::shared_ptr<PendingRecord>& pending)
     {
-        if (m_clock.now() >= recording->giveUpAt) {
-            recorded();
+        if (m_clock.now() >= pending->retryUntil) {
+            onRecordDone();
             return;
         }
-        const auto pause = jittered(recording->pause);
-        recording->pause = std::min(recording->pause * 2, longestPause);
-        m_defer(pause, [this, recording] { record(recording); });
+        const auto retryDelay = withJitter(pending->retryDelay);
+        pending->retryDelay = std::min(pending->retryDelay * 2, maxRetryDelay);
+        m_runAfter(retryDelay, [this, pending] { readAndWrite(pending); });
     }
 
-    void TableClaimKeeper::recorded()
+    void TableClaimStore::onRecordDone()
     {
         const std::lock_guard lock(m_mutex);
         --m_pendingRecords;
     }
 
-    std::size_t TableClaimKeeper::pendingRecords() const
+    std::size_t TableClaimStore::pendingRecords() const
     {
         const std::lock_guard lock(m_mutex);
         return m_pendingRecords;
@@ -213,9 +216,9 @@
 } // namespace
 
 std::unique_ptr<ClaimKeeper> ClaimKeeper::create(
-    store::Table& table, const Clock& clock, InstanceId self, std::uint64_t seed, Defer defer)
+    store::Table& table, const Clock& clock, InstanceId self, std::uint64_t seed, Defer runAfter)
 {
-    return std::make_unique<TableClaimKeeper>(table, clock, std::move(self), seed, std::move(defer));
+    return std::make_unique<TableClaimStore>(table, clock, std::move(self), seed, std::move(runAfter));
 }
 
 } // namespace foxtailwheel::control
--- a/src/foxtailwheel/control/ClaimTest.cpp
+++ b/src/foxtailwheel/control/ClaimTest.cpp
@@ -4,9 +4,9 @@
 
 using namespace foxtailwheel;
 using namespace std::chrono_literals;
-using control::ClaimMachine;
 using control::ClaimProgress;
 using control::ClaimRow;
+using control::ClaimStateMachine;
 using control::ClaimStep;
 using pipeline::ClaimState;
 using store::TransactEnd;
@@ -15,7 +15,7 @@
 
 constexpr WallTime now { 1000s };
 
-ClaimRow rowOf(const std::string& token, ClaimProgress progress = ClaimProgress::Claimed)
+ClaimRow makeRow(const std::string& token, ClaimProgress progress = ClaimProgress::Claimed)
 {
     return { AttemptToken(token), "hash", InstanceId("i"), progress, "answer", now + 10s, now + 100s };
 }
@@ -27,7 +27,7 @@
 
 ClaimState stateAgainst(const ClaimRow& row, WallTime at = now)
 {
-    ClaimMachine machine("key", rowOf("mine"));
+    ClaimStateMachine machine("key", makeRow("mine"));
     machine.onInsert(conflictWith(row), at);
     cr_assert(machine.step() == ClaimStep::Done);
     return machine.result().state;
@@ -35,77 +35,78 @@
 
 } // namespace
 
-Test(Claim, rowsSurviveTheirText)
+Test(Claim, rowsRoundTripThroughJson)
 {
-    const auto row = rowOf("t", ClaimProgress::Answered);
+    const auto row = makeRow("t", ClaimProgress::Answered);
     const auto read = control::decodeClaimRow(control::encodeClaimRow(row));
     cr_assert(read.has_value());
-    cr_assert(read->token == row.token && read->answer == row.answer && read->heldUntil == row.heldUntil);
+    cr_assert(read->token == row.token && read->answer == row.answer && read->inProgressUntil == row.inProgressUntil);
     cr_assert(!control::decodeClaimRow("{}").has_value());
     cr_assert(!control::decodeClaimRow("not json").has_value());
 }
 
-Test(Claim, keysOfDifferentEffectsDiffer)
+Test(Claim, rowKeysAreUnambiguous)
 {
     const serving::ClaimKey key { ClientAccountId("a"), ServiceId("s"), IdempotencyKey("k") };
     const serving::ClaimKey other { ClientAccountId("a/s"), ServiceId(""), IdempotencyKey("k") };
     cr_assert(control::claimRowKey(key) != control::claimRowKey(other));
 }
 
-Test(Claim, anAppliedInsertGrants)
+Test(Claim, grantsAfterAppliedInsert)
 {
-    ClaimMachine machine("key", rowOf("mine"));
+    ClaimStateMachine machine("key", makeRow("mine"));
     machine.onInsert({ TransactEnd::Applied, {} }, now);
     cr_assert(machine.result().state == ClaimState::Granted);
 }
 
-Test(Claim, anotherHolderIsToldApart)
+Test(Claim, distinguishesStatesOfAnExistingClaim)
 {
-    cr_assert(stateAgainst(rowOf("other")) == ClaimState::InProgress);
-    cr_assert(stateAgainst(rowOf("other"), now + 11s) == ClaimState::Unknown);
-    cr_assert(stateAgainst(rowOf("other", ClaimProgress::Answered)) == ClaimState::Recorded);
-    cr_assert(stateAgainst(rowOf("other", ClaimProgress::Unknown)) == ClaimState::Unknown);
-    auto reused = rowOf("other", ClaimProgress::Answered);
+    cr_assert(stateAgainst(makeRow("other")) == ClaimState::InProgress);
+    cr_assert(stateAgainst(makeRow("other"), now + 11s) == ClaimState::Unknown);
+    cr_assert(stateAgainst(makeRow("other", ClaimProgress::Answered)) == ClaimState::Recorded);
+    cr_assert(stateAgainst(makeRow("other", ClaimProgress::Unknown)) == ClaimState::Unknown);
+    auto reused = makeRow("other", ClaimProgress::Answered);
     reused.bodyHash = "another body";
     cr_assert(stateAgainst(reused) == ClaimState::KeyReused);
 }
 
-Test(Claim, aLostAnswerIsReadBack)
+Test(Claim, readsBackAfterLostResponse)
 {
-    ClaimMachine machine("key", rowOf("mine"));
+    ClaimStateMachine machine("key", makeRow("mine"));
     machine.onInsert({ TransactEnd::Ambiguous, {} }, now);
     cr_assert(machine.step() == ClaimStep::ReadBack);
-    machine.onRead({ true, { { "key", control::encodeClaimRow(rowOf("mine")), 1 } } }, now);
+    machine.onRead({ true, { { "key", control::encodeClaimRow(makeRow("mine")), 1 } } }, now);
     cr_assert(machine.result().state == ClaimState::Granted);
 }
 
-Test(Claim, anInsertThatLandsLateIsItsOwn)
+Test(Claim, recognizesOwnInsertAppliedLate)
 {
-    ClaimMachine machine("key", rowOf("mine"));
+    ClaimStateMachine machine("key", makeRow("mine"));
     machine.onInsert({ TransactEnd::Ambiguous, {} }, now);
     machine.onRead({ true, {} }, now);
     cr_assert(machine.step() == ClaimStep::Insert);
-    machine.onInsert(conflictWith(rowOf("mine")), now);
+    machine.onInsert(conflictWith(makeRow("mine")), now);
     cr_assert(machine.result().state == ClaimState::Granted);
 }
 
-Test(Claim, withoutTheTableThereIsNoClaim)
+Test(Claim, isUnavailableWithoutTheTable)
 {
-    ClaimMachine machine("key", rowOf("mine"));
+    ClaimStateMachine machine("key", makeRow("mine"));
     machine.onInsert({ TransactEnd::NotApplied, {} }, now);
     cr_assert(machine.step() == ClaimStep::Insert);
-    machine.expire();
+    machine.onTimeout();
     cr_assert(machine.result().state == ClaimState::Unavailable);
-    cr_assert(!machine.mayHold());
+    cr_assert(!machine.mayHaveInserted());
 }
 
-Test(Claim, aRecordIsWrittenOnlyOverItsOwnVersion)
+Test(Claim, outcomeIsConditionalOnTheRowVersion)
 {
-    const auto transaction
-        = control::claimRecord("key", rowOf("mine"), 7, pipeline::ClaimEnd::Answered, pipeline::payloadOf("booked"));
+    const auto transaction = control::claimOutcomeTransaction(
+        "key", makeRow("mine"), 7, pipeline::ClaimEnd::Answered, pipeline::payloadOf("booked"));
     cr_assert_eq(*transaction.conditions.front().version, 7U);
     const auto row = control::decodeClaimRow(*transaction.writes.front().value);
     cr_assert(row->progress == ClaimProgress::Answered && row->answer == "booked");
-    const auto released = control::claimRecord("key", rowOf("mine"), 7, pipeline::ClaimEnd::NotStarted, nullptr);
+    const auto released
+        = control::claimOutcomeTransaction("key", makeRow("mine"), 7, pipeline::ClaimEnd::NotStarted, nullptr);
     cr_assert(!released.writes.front().value.has_value());
 }
