--- a/include/foxtailwheel/control/ConfigFollower.h
+++ b/include/foxtailwheel/control/ConfigFollower.h
@@ -13,74 +13,75 @@
 
 namespace foxtailwheel::control {
 
-/// @brief Read the configuration's head row.
+/// @brief Reads the head row of the configuration.
 struct ReadHead { };
 
-/// @brief Fetch a text, from a peer or from the table.
+/// @brief Fetches a configuration text from a peer or from the table.
 struct FetchText {
     ConfigVersion version;
     std::optional<InstanceId> peer; ///< Empty for the table.
 };
 
-/// @brief Put a text in force.
+/// @brief Activates a configuration text.
 struct InstallText {
     ConfigVersion version;
     std::string text;
 };
 
-/// @brief One thing that the driver has to do.
+/// @brief An action that the caller has to perform.
 using FollowAction = std::variant<ReadHead, FetchText, InstallText>;
 using FollowActions = std::vector<FollowAction>;
 
-/// @brief How often the table is asked.
-struct FollowOptions {
-    Duration pollerPeriod = std::chrono::milliseconds(500); ///< On the few instances of a zone that poll.
-    Duration slowPeriod = std::chrono::seconds(5); ///< On all others.
+/// @brief Polling periods and timeouts of a follower.
+struct ConfigFollowerOptions {
+    Duration pollerPeriod = std::chrono::milliseconds(500); ///< Polling period of the zone's few pollers.
+    Duration nonPollerPeriod = std::chrono::seconds(5); ///< Polling period of all other instances.
     Duration fetchTimeout = std::chrono::seconds(2);
-    std::size_t peersToStart = 2; ///< Peers that must be asked before starting without the table.
+    std::size_t minPeersToStart = 2; ///< Number of peers that must report a version before a start without the table.
 };
 
-/// @brief Keeps one instance on the highest accepted configuration; the version never goes down. Not thread-safe.
+/// @brief Keeps an instance on the latest accepted configuration; the version never decreases. Not thread-safe.
 ///
-/// The head is polled; peers announce their versions by gossip; texts come from a peer that has them, else from the
-/// table. An instance that starts takes part only once the table answered, or several peers did.
+/// The head row is polled, and peers announce their versions by gossip. A text is fetched from a peer that has it, else
+/// from the table. A starting instance is caught up only after the table, or several peers, have responded.
 class ConfigFollower {
 public:
-    ConfigFollower(FollowOptions options, std::uint64_t seed);
+    ConfigFollower(ConfigFollowerOptions options, std::uint64_t seed);
 
-    /// @brief Says whether this instance is one of its zone's few pollers.
+    /// @brief Sets whether this instance is one of its zone's pollers.
     void setPoller(bool isPoller) { m_isPoller = isPoller; }
-    /// @brief Lets time pass.
+    /// @brief Handles timeouts and due reads; called periodically.
     void tick(TimePoint now, FollowActions& out);
-    /// @brief The head row was read; empty where there is no configuration yet.
+    /// @brief Handles the result of reading the head row; `head` is empty if there is no configuration yet.
     void onHead(bool answered, const std::optional<ConfigHead>& head, TimePoint now, FollowActions& out);
-    /// @brief A peer said which version it has in force; 0 for none.
+    /// @brief Handles a peer's announcement of its active version; 0 for none.
     void onAnnounced(const InstanceId& peer, ConfigVersion version, TimePoint now, FollowActions& out);
-    /// @brief A fetch ended; the driver has checked the text against its hash.
+    /// @brief Handles the end of a fetch; the caller has verified the text against its hash, and it is empty on
+    /// failure.
     void onText(ConfigVersion version, const std::optional<std::string>& text, TimePoint now, FollowActions& out);
 
-    /// @brief The version in force; 0 for none.
-    ConfigVersion inForce() const { return m_inForce; }
-    /// @brief The highest version known to have been accepted.
-    ConfigVersion known() const { return m_known; }
-    /// @brief True once it is certain enough that no higher version was accepted before the start.
+    /// @brief The active version; 0 for none.
+    ConfigVersion activeVersion() const { return m_activeVersion; }
+    /// @brief The highest version known to be accepted.
+    ConfigVersion latestKnownVersion() const { return m_latestKnownVersion; }
+    /// @brief True once the active version is the highest known and the table, or enough peers, have responded.
     bool caughtUp() const;
 
 private:
     void fetchIfBehind(TimePoint now, FollowActions& out);
 
-    FollowOptions m_options;
+    ConfigFollowerOptions m_options;
     Random m_random;
     bool m_isPoller = true;
     bool m_tableAnswered = false;
-    std::map<InstanceId, ConfigVersion> m_announced;
-    ConfigVersion m_inForce;
-    ConfigVersion m_known;
+    std::map<InstanceId, ConfigVersion> m_peerVersions;
+    ConfigVersion m_activeVersion;
+    ConfigVersion m_latestKnownVersion;
     std::optional<InstanceId> m_fetchedFrom;
     bool m_lastFetchFailed = false;
     bool m_fetching = false;
-    TimePoint m_fetchUntil {};
-    TimePoint m_readAt {};
+    TimePoint m_fetchDeadline {};
+    TimePoint m_nextReadAt {};
 };
 
 } // namespace foxtailwheel::control
--- a/src/foxtailwheel/control/ConfigFollower.cpp
+++ b/src/foxtailwheel/control/ConfigFollower.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-    /// Peers whose versions are remembered; more are not needed to fetch a text.
-    constexpr std::size_t mostAnnounced = 64;
+    /// Maximum number of peers whose versions are tracked; more are not needed to fetch a text.
+    constexpr std::size_t maxTrackedPeers = 64;
 
 } // namespace
 
-ConfigFollower::ConfigFollower(FollowOptions options, std::uint64_t seed)
+ConfigFollower::ConfigFollower(ConfigFollowerOptions options, std::uint64_t seed)
     : m_options(options)
     , m_random(seed)
 {
@@ -19,19 +19,20 @@
 
 bool ConfigFollower::caughtUp() const
 {
-    const bool asked = m_tableAnswered || m_announced.size() >= m_options.peersToStart;
-    return asked && m_inForce.value() > 0 && m_inForce >= m_known;
+    const bool hasResponses = m_tableAnswered || m_peerVersions.size() >= m_options.minPeersToStart;
+    return hasResponses && m_activeVersion.value() > 0 && m_activeVersion >= m_latestKnownVersion;
 }
 
 void ConfigFollower::tick(TimePoint now, FollowActions& out)
 {
-    if (m_fetching && now >= m_fetchUntil) {
+    if (m_fetching && now >= m_fetchDeadline) {
         m_fetching = false;
         m_lastFetchFailed = true;
     }
-    if (now >= m_readAt) {
-        const auto period = m_isPoller || m_inForce.value() == 0 ? m_options.pollerPeriod : m_options.slowPeriod;
-        m_readAt = now + fromSeconds(toSeconds(period) * (0.75 + m_random.uniform() / 2));
+    if (now >= m_nextReadAt) {
+        const auto period
+            = m_isPoller || m_activeVersion.value() == 0 ? m_options.pollerPeriod : m_options.nonPollerPeriod;
+        m_nextReadAt = now + fromSeconds(toSeconds(period) * (0.75 + m_random.uniform() / 2));
         out.emplace_back(ReadHead {});
     }
     fetchIfBehind(now, out);
@@ -43,34 +44,34 @@
         return;
     m_tableAnswered = true;
     if (head)
-        m_known = std::max(m_known, head->version);
+        m_latestKnownVersion = std::max(m_latestKnownVersion, head->version);
     fetchIfBehind(now, out);
 }
 
 void ConfigFollower::onAnnounced(const InstanceId& peer, ConfigVersion version, TimePoint now, FollowActions& out)
 {
-    if (m_announced.size() >= mostAnnounced && !m_announced.contains(peer))
-        m_announced.erase(m_announced.begin());
-    m_announced[peer] = version;
-    m_known = std::max(m_known, version);
+    if (m_peerVersions.size() >= maxTrackedPeers && !m_peerVersions.contains(peer))
+        m_peerVersions.erase(m_peerVersions.begin());
+    m_peerVersions[peer] = version;
+    m_latestKnownVersion = std::max(m_latestKnownVersion, version);
     fetchIfBehind(now, out);
 }
 
 void ConfigFollower::fetchIfBehind(TimePoint now, FollowActions& out)
 {
-    if (m_fetching || m_known <= m_inForce)
+    if (m_fetching || m_latestKnownVersion <= m_activeVersion)
         return;
     std::vector<InstanceId> holders;
-    for (const auto& it : m_announced) {
-        if (it.second >= m_known && !(m_lastFetchFailed && m_fetchedFrom == it.first))
+    for (const auto& it : m_peerVersions) {
+        if (it.second >= m_latestKnownVersion && !(m_lastFetchFailed && m_fetchedFrom == it.first))
             holders.push_back(it.first);
     }
-    FetchText fetch { m_known, std::nullopt };
-    const bool askTable = m_lastFetchFailed && m_fetchedFrom.has_value() && m_random.chance(0.5);
-    if (!holders.empty() && !askTable)
+    FetchText fetch { m_latestKnownVersion, std::nullopt };
+    const bool useTable = m_lastFetchFailed && m_fetchedFrom.has_value() && m_random.chance(0.5);
+    if (!holders.empty() && !useTable)
         fetch.peer = holders[m_random.below(holders.size())];
     m_fetching = true;
-    m_fetchUntil = now + m_options.fetchTimeout;
+    m_fetchDeadline = now + m_options.fetchTimeout;
     m_fetchedFrom = fetch.peer;
     out.emplace_back(std::move(fetch));
 }
@@ -80,10 +81,10 @@
 {
     m_fetching = false;
     m_lastFetchFailed = !text.has_value();
-    if (!text || version <= m_inForce)
+    if (!text || version <= m_activeVersion)
         return;
-    m_inForce = version;
-    m_known = std::max(m_known, version);
+    m_activeVersion = version;
+    m_latestKnownVersion = std::max(m_latestKnownVersion, version);
     out.emplace_back(InstallText { version, *text });
     fetchIfBehind(now, out);
 }
--- a/src/foxtailwheel/control/ConfigStore.cpp
+++ b/src/foxtailwheel/control/ConfigStore.cpp
@@ -22,40 +22,41 @@
         return std::string(digits - std::min(digits, text.size()), '0') + text;
     }
 
-    /// Drives one machine; kept alive by its own callbacks.
-    struct Applying {
-        ApplyMachine machine;
+    /// A change in progress; kept alive by its own callbacks.
+    struct PendingApply {
+        ApplyStateMachine machine;
         store::Table& table;
         const Clock& clock;
         TimePoint deadline;
         std::function<void(ApplyResult)> done;
     };
 
-    void advance(const std::shared_ptr<Applying>& applying)
+    void runStep(const std::shared_ptr<PendingApply>& pending)
     {
-        auto& machine = applying->machine;
-        const auto now = applying->clock.now();
-        if (now >= applying->deadline)
-            machine.expire();
+        auto& machine = pending->machine;
+        const auto now = pending->clock.now();
+        if (now >= pending->deadline)
+            machine.abandon();
         if (machine.step() == ApplyStep::Done) {
-            applying->done(machine.result());
+            pending->done(machine.result());
             return;
         }
-        const auto until = std::min(applying->deadline, now + tableTimeout);
+        const auto callDeadline = std::min(pending->deadline, now + tableTimeout);
         if (machine.step() == ApplyStep::Transact) {
-            applying->table.transact(machine.transaction(), until, [applying](const store::TransactResult& result) {
-                applying->machine.onTransact(result);
-                if (result.end == TransactEnd::NotApplied)
-                    applying->machine.expire();
-                advance(applying);
-            });
+            pending->table.transact(
+                machine.transaction(), callDeadline, [pending](const store::TransactResult& result) {
+                    pending->machine.onTransact(result);
+                    if (result.end == TransactEnd::NotApplied)
+                        pending->machine.abandon();
+                    runStep(pending);
+                });
             return;
         }
-        applying->table.read(machine.readKey(), until, [applying](const store::ReadResult& result) {
-            applying->machine.onRead(result);
+        pending->table.read(machine.readKey(), callDeadline, [pending](const store::ReadResult& result) {
+            pending->machine.onRead(result);
             if (!result.answered)
-                applying->machine.expire();
-            advance(applying);
+                pending->machine.abandon();
+            runStep(pending);
         });
     }
 
@@ -138,37 +139,37 @@
     return change;
 }
 
-ApplyMachine::ApplyMachine(WantedChange wanted, WallTime now)
-    : m_wanted(std::move(wanted))
+ApplyStateMachine::ApplyStateMachine(WantedChange request, WallTime now)
+    : m_request(std::move(request))
 {
-    m_change = { m_wanted.base.next(), m_wanted.id, m_wanted.author, now, m_wanted.note, m_wanted.summary,
-        sha256Hex(m_wanted.text), std::nullopt };
-    if (!m_wanted.baseText.empty())
-        m_change.patch = config::makePatch(m_wanted.base, m_wanted.baseText, m_change.version, m_wanted.text);
-    m_result.version = m_wanted.base;
+    m_change = { m_request.base.next(), m_request.id, m_request.author, now, m_request.note, m_request.summary,
+        sha256Hex(m_request.text), std::nullopt };
+    if (!m_request.baseText.empty())
+        m_change.patch = config::makePatch(m_request.base, m_request.baseText, m_change.version, m_request.text);
+    m_result.version = m_request.base;
 }
 
-store::Transaction ApplyMachine::transaction() const
+store::Transaction ApplyStateMachine::transaction() const
 {
-    const bool first = m_wanted.base.value() == 0;
+    const bool first = m_request.base.value() == 0;
     store::Transaction transaction;
-    // The head is written once for each version and never deleted, so the row's version is the configuration's.
-    transaction.conditions.push_back({ configHeadKey(), first ? std::nullopt : std::optional(m_wanted.base.value()) });
+    // The head is written once per version and never deleted, so the row's version equals the configuration version.
+    transaction.conditions.push_back({ configHeadKey(), first ? std::nullopt : std::optional(m_request.base.value()) });
     transaction.conditions.push_back({ configChangeKey(m_change.version), std::nullopt });
     transaction.writes.push_back(
         { configHeadKey(), encodeConfigHead({ m_change.version, m_change.id, m_change.textHash }) });
-    transaction.writes.push_back({ configTextKey(m_change.version), m_wanted.text });
+    transaction.writes.push_back({ configTextKey(m_change.version), m_request.text });
     transaction.writes.push_back({ configChangeKey(m_change.version), encodeConfigChange(m_change) });
-    auto audited = m_change;
-    audited.patch.reset();
-    transaction.writes.push_back({ auditKey(m_change.at, m_change.id.value()), encodeConfigChange(audited) });
-    if (m_change.version.value() > keptTexts)
+    auto auditRecord = m_change;
+    auditRecord.patch.reset();
+    transaction.writes.push_back({ auditKey(m_change.at, m_change.id.value()), encodeConfigChange(auditRecord) });
+    if (m_change.version.value() > retainedTexts)
         transaction.writes.push_back(
-            { configTextKey(ConfigVersion(m_change.version.value() - keptTexts)), std::nullopt });
+            { configTextKey(ConfigVersion(m_change.version.value() - retainedTexts)), std::nullopt });
     return transaction;
 }
 
-void ApplyMachine::onTransact(const store::TransactResult& result)
+void ApplyStateMachine::onTransact(const store::TransactResult& result)
 {
     if (m_step != ApplyStep::Transact)
         return;
@@ -195,7 +196,7 @@
     }
 }
 
-void ApplyMachine::onRead(const store::ReadResult& result)
+void ApplyStateMachine::onRead(const store::ReadResult& result)
 {
     if (m_step != ApplyStep::ReadBack || !result.answered)
         return;
@@ -215,7 +216,7 @@
     m_result.end = ApplyEnd::Conflict;
 }
 
-void ApplyMachine::expire()
+void ApplyStateMachine::abandon()
 {
     if (m_step == ApplyStep::Done)
         return;
@@ -223,12 +224,12 @@
     m_result.end = m_mayBeApplied ? ApplyEnd::Ambiguous : ApplyEnd::Unavailable;
 }
 
-void applyChange(store::Table& table, const Clock& clock, WantedChange wanted, TimePoint deadline,
+void applyChange(store::Table& table, const Clock& clock, WantedChange request, TimePoint deadline,
     std::function<void(ApplyResult)> done)
 {
-    auto applying = std::make_shared<Applying>(
-        Applying { ApplyMachine(std::move(wanted), clock.wallNow()), table, clock, deadline, std::move(done) });
-    advance(applying);
+    auto pending = std::make_shared<PendingApply>(PendingApply {
+        ApplyStateMachine(std::move(request), clock.wallNow()), table, clock, deadline, std::move(done) });
+    runStep(pending);
 }
 
 } // namespace foxtailwheel::control
--- a/src/foxtailwheel/control/ConfigTest.cpp
+++ b/src/foxtailwheel/control/ConfigTest.cpp
@@ -8,7 +8,7 @@
 using namespace foxtailwheel;
 using namespace std::chrono_literals;
 using control::ApplyEnd;
-using control::ApplyMachine;
+using control::ApplyStateMachine;
 using control::ApplyStep;
 using control::ConfigFollower;
 using control::FetchText;
@@ -20,7 +20,7 @@
 
 constexpr TimePoint start { 1h };
 
-control::WantedChange wantedChange(std::uint64_t base)
+control::WantedChange makeChange(std::uint64_t base)
 {
     return { ConfigVersion(base), control::ChangeId("mine"), "mary", "note", { "~ services/encode" }, "text: 2",
         "text: 1" };
@@ -45,26 +45,26 @@
 
 } // namespace
 
-Test(ApplyMachine, writesHeadTextAndAuditTogether)
+Test(ApplyStateMachine, writesHeadTextAndAuditTogether)
 {
-    const ApplyMachine machine(wantedChange(4), WallTime(5ms));
+    const ApplyStateMachine machine(makeChange(4), WallTime(5ms));
     const auto transaction = machine.transaction();
     cr_assert_eq(*transaction.conditions.front().version, 4U);
     cr_assert_eq(transaction.writes.size(), 4U);
     cr_assert_eq(transaction.writes[1].key, control::configTextKey(ConfigVersion(5)));
 }
 
-Test(ApplyMachine, oldTextsAreDeleted)
+Test(ApplyStateMachine, deletesTextsBeyondRetention)
 {
-    const ApplyMachine machine(wantedChange(control::keptTexts + 4), WallTime(5ms));
+    const ApplyStateMachine machine(makeChange(control::retainedTexts + 4), WallTime(5ms));
     const auto transaction = machine.transaction();
     cr_assert(!transaction.writes.back().value.has_value());
     cr_assert_eq(transaction.writes.back().key, control::configTextKey(ConfigVersion(5)));
 }
 
-Test(ApplyMachine, theLoserOfARaceIsTold)
+Test(ApplyStateMachine, reportsConflictWithConcurrentChange)
 {
-    ApplyMachine machine(wantedChange(4), WallTime(5ms));
+    ApplyStateMachine machine(makeChange(4), WallTime(5ms));
     machine.onTransact({ TransactEnd::ConditionFailed,
         { { control::configHeadKey(), control::encodeConfigHead({ ConfigVersion(6), control::ChangeId("theirs"), "h" }),
             6 } } });
@@ -74,36 +74,36 @@
     cr_assert(machine.result().version == ConfigVersion(6));
 }
 
-Test(ApplyMachine, aLostAnswerIsResolvedByTheChangeId)
+Test(ApplyStateMachine, resolvesLostResponseByChangeId)
 {
-    ApplyMachine machine(wantedChange(4), WallTime(5ms));
+    ApplyStateMachine machine(makeChange(4), WallTime(5ms));
     machine.onTransact({ TransactEnd::Ambiguous, {} });
     machine.onRead(changeRow(5, "mine"));
     cr_assert(machine.result().end == ApplyEnd::Accepted);
     cr_assert(machine.result().version == ConfigVersion(5));
 }
 
-Test(ApplyMachine, aRepeatWithTheSameIdIsAccepted)
+Test(ApplyStateMachine, acceptsRetryWithTheSameChangeId)
 {
-    ApplyMachine machine(wantedChange(4), WallTime(5ms));
+    ApplyStateMachine machine(makeChange(4), WallTime(5ms));
     machine.onTransact({ TransactEnd::ConditionFailed, {} });
     machine.onRead(changeRow(5, "mine"));
     cr_assert(machine.result().end == ApplyEnd::Accepted);
 }
 
-Test(ApplyMachine, whatMayBeAppliedIsNotCalledRefused)
+Test(ApplyStateMachine, abandonedAfterLostResponseIsAmbiguous)
 {
-    ApplyMachine machine(wantedChange(4), WallTime(5ms));
+    ApplyStateMachine machine(makeChange(4), WallTime(5ms));
     machine.onTransact({ TransactEnd::Ambiguous, {} });
-    machine.expire();
+    machine.abandon();
     cr_assert(machine.result().end == ApplyEnd::Ambiguous);
-    ApplyMachine refused(wantedChange(4), WallTime(5ms));
-    refused.onTransact({ TransactEnd::NotApplied, {} });
-    refused.expire();
-    cr_assert(refused.result().end == ApplyEnd::Unavailable);
+    ApplyStateMachine notApplied(makeChange(4), WallTime(5ms));
+    notApplied.onTransact({ TransactEnd::NotApplied, {} });
+    notApplied.abandon();
+    cr_assert(notApplied.result().end == ApplyEnd::Unavailable);
 }
 
-Test(ConfigFollower, takesTheTableFirstAndThenPeers)
+Test(ConfigFollower, fetchesFromTheTableUntilAPeerHasTheVersion)
 {
     ConfigFollower follower({}, 1);
     FollowActions actions;
@@ -118,7 +118,7 @@
     cr_assert(find<FetchText>(actions) != nullptr && find<FetchText>(actions)->peer == InstanceId("b"));
 }
 
-Test(ConfigFollower, theVersionNeverFalls)
+Test(ConfigFollower, versionNeverDecreases)
 {
     ConfigFollower follower({}, 1);
     Random random(7);
@@ -143,8 +143,8 @@
         }
         if (const auto* install = find<InstallText>(actions))
             cr_assert(install->version > highest);
-        cr_assert(follower.inForce() >= highest);
-        highest = follower.inForce();
+        cr_assert(follower.activeVersion() >= highest);
+        highest = follower.activeVersion();
     }
 }
 
@@ -162,7 +162,7 @@
     cr_assert(follower.caughtUp());
 }
 
-Test(ConfigFollower, aFailedFetchIsTriedElsewhere)
+Test(ConfigFollower, retriesFailedFetchFromTheTable)
 {
     ConfigFollower follower({}, 1);
     FollowActions actions;
