--- a/include/foxtailwheel/control/Lease.h
+++ b/include/foxtailwheel/control/Lease.h
@@ -10,10 +10,10 @@
 
 namespace foxtailwheel::control {
 
-/// @brief The row of one lease.
+/// @brief Row of a lease in the table.
 struct LeaseRow {
     InstanceId holder;
-    FencingNumber fencing; ///< Grows with every new holder.
+    FencingNumber fencing; ///< Increases with every new holder.
     std::uint64_t renewals = 0;
 };
 
@@ -21,40 +21,42 @@
 std::string encodeLeaseRow(const LeaseRow& row);
 std::optional<LeaseRow> decodeLeaseRow(const std::string& text);
 
-/// @brief Times of a lease.
+/// @brief Timing of a lease.
 struct LeaseOptions {
-    Duration life = std::chrono::seconds(10); ///< From a renewal until another may take the lease.
-    Duration margin = std::chrono::seconds(2); ///< The holder stops this long before its lease ends.
-    Duration renewAfter = std::chrono::seconds(3);
-    Duration longestOrder
-        = std::chrono::seconds(5); ///< Waited out after taking over where engines ignore fencing numbers.
+    Duration lifetime = std::chrono::seconds(10); ///< Time from a renewal until another instance may acquire the lease.
+    Duration safetyMargin = std::chrono::seconds(2); ///< The holder stops using the lease this long before it expires.
+    Duration renewAfter = std::chrono::seconds(3); ///< Time from a write until the next renewal.
+    /// Maximum duration of an order; a new holder waits for it if engines ignore fencing numbers.
+    Duration longestOrder = std::chrono::seconds(5);
 };
 
-/// @brief What the lease needs of the table next.
+/// @brief The next operation on the table.
 enum class LeaseStep { None, Read, Write };
 
-/// @brief One instance's part in the lease of one pool; no I/O and no calendar time. Not thread-safe.
+/// @brief One instance's view of the lease of one pool; performs no I/O and uses no wall-clock time. Not thread-safe.
 ///
-/// A contender takes over a row only after it has seen it unchanged for the whole life by its own monotonic clock. The
-/// holder counts its life from before it sent the renewal, so it always stops first, however the clocks stand.
+/// A contender acquires the lease only after it has observed the row unchanged for the full lifetime on its own
+/// monotonic clock. The holder measures the lifetime from before it sent the renewal, so it always stops first,
+/// whatever the offset between the clocks.
 class Lease {
 public:
     Lease(ServiceId pool, InstanceId self, LeaseOptions options);
 
-    /// @brief The step that is due; `None` also while an answer is awaited.
+    /// @brief The next step; `None` also while a response is pending.
     LeaseStep step(TimePoint now) const;
-    /// @brief The transaction of a `Write` step; remembers that it is on its way.
+    /// @brief Starts a `Write` step and returns its transaction.
     store::Transaction beginWrite(TimePoint now);
-    /// @brief A `Read` step is on its way.
-    void beginRead() { m_waiting = true; }
+    /// @brief Starts a `Read` step.
+    void beginRead() { m_requestPending = true; }
     const std::string& key() const { return m_key; }
-    /// @brief Takes the answer to a `Read` step.
+    /// @brief Handles the response to a `Read` step.
     void onRead(const store::ReadResult& result, TimePoint now);
-    /// @brief Takes the answer to a `Write` step.
+    /// @brief Handles the response to a `Write` step.
     void onWrite(const store::TransactResult& result, TimePoint now);
 
-    /// @brief The number to order with; empty where this instance must not order now.
-    /// @param fencingChecked False where engines ignore the number, so that old orders must be waited out first.
+    /// @brief The fencing number for orders; empty if this instance must not send orders now.
+    /// @param fencingChecked False if engines ignore the number, so that orders of the previous holder must expire
+    /// first.
     std::optional<FencingNumber> mayOrder(TimePoint now, bool fencingChecked) const;
 
 private:
@@ -62,17 +64,17 @@
     ServiceId m_pool;
     InstanceId m_self;
     std::string m_key;
-    bool m_waiting = false;
-    bool m_known = false; ///< The row, or its absence, was read.
-    std::uint64_t m_rowVersion = 0; ///< 0 where there is no row.
+    bool m_requestPending = false;
+    bool m_rowKnown = false; ///< The row, or its absence, has been read.
+    std::uint64_t m_rowVersion = 0; ///< 0 if the row does not exist.
     LeaseRow m_row;
     TimePoint m_unchangedSince {};
-    LeaseRow m_wanted;
+    LeaseRow m_pendingRow;
     TimePoint m_sentAt {};
     bool m_held = false;
     TimePoint m_heldUntil {};
-    TimePoint m_takenAt {};
-    TimePoint m_readAt {};
+    TimePoint m_acquiredAt {};
+    TimePoint m_nextReadAt {};
 };
 
 } // namespace foxtailwheel::control
--- a/include/foxtailwheel/control/ServerWatch.h
+++ b/include/foxtailwheel/control/ServerWatch.h
@@ -10,32 +10,33 @@
 
 namespace foxtailwheel::control {
 
-/// @brief Decides which backend servers count as announced, from their entries in the store.
+/// @brief Tracks the announced backend servers by their entries in the store.
 ///
-/// Entries lapse while the store is away, also those of servers that live; after its return a missing entry is kept
-/// for a short while, since a living server announces itself again.
+/// Entries expire while the store is unavailable, even those of healthy servers. After the store has recovered, a
+/// missing entry is retained for a grace period, because a healthy server announces itself again. Not thread-safe.
 class ServerWatch {
 public:
-    /// @brief Takes the entries as they stand in the store now.
-    /// @param lostAt When the store was last found unavailable.
-    /// @param regainedAt When it answered again.
-    void update(const std::map<BackendServerId, serving::AnnouncedServer>& entries, TimePoint lostAt,
-        TimePoint regainedAt, TimePoint now);
-    /// @brief Drops kept servers whose time is over; true where the set changed.
+    /// @brief Applies the current entries of the store.
+    /// @param lastUnavailableAt Time at which the store was last found unavailable; unset for never.
+    /// @param recoveredAt Time at which the store last recovered.
+    void update(const std::map<BackendServerId, serving::AnnouncedServer>& entries, TimePoint lastUnavailableAt,
+        TimePoint recoveredAt, TimePoint now);
+    /// @brief Removes retained servers whose grace period has ended; true if the set changed.
     bool expire(TimePoint now);
-    /// @brief When `expire` is next needed.
+    /// @brief Time at which `expire` is next due; empty if no server is retained.
     std::optional<TimePoint> nextExpiry() const;
     std::vector<serving::AnnouncedServer> servers() const;
 
-    /// @brief Time after the store's return within which lapsed entries are back; the operators' figure.
-    static constexpr Duration returnTime = std::chrono::milliseconds(2200);
-    /// @brief An outage that ended this long ago may still have cost entries.
-    static constexpr Duration outageMemory = std::chrono::milliseconds(2500);
+    /// @brief Time after the store's recovery within which servers announce themselves again, as given by the
+    /// operators.
+    static constexpr Duration reannounceGracePeriod = std::chrono::milliseconds(2200);
+    /// @brief Time after the store's recovery in which a missing entry is attributed to the outage.
+    static constexpr Duration outageEffectPeriod = std::chrono::milliseconds(2500);
 
 private:
     struct Entry {
         serving::AnnouncedServer server;
-        std::optional<TimePoint> missingUntil; ///< The entry lapsed; the server is dropped then.
+        std::optional<TimePoint> expiresAt; ///< Set if the entry is missing; the server is removed then.
     };
 
     std::map<BackendServerId, Entry> m_entries;
--- a/include/foxtailwheel/control/TableFollower.h
+++ b/include/foxtailwheel/control/TableFollower.h
@@ -12,61 +12,60 @@
 
 namespace foxtailwheel::control {
 
-/// @brief Times of a follower.
+/// @brief Options of a follower.
 struct FollowerOptions {
     std::string table;
-    Duration wait {}; ///< Longest time that the store holds a call until something changes.
-    Duration answerLimit = std::chrono::milliseconds(1200); ///< Beyond `wait`; then the call counts as lost.
-    Duration probeLimit = std::chrono::milliseconds(500); ///< For an answer while the store is away.
-    Duration pause = std::chrono::milliseconds(250); ///< Before the next call after a failure, with jitter.
-    Duration gather
-        = std::chrono::milliseconds(100); ///< Before the next call after changes, so that they come together.
-    Duration silence {}; ///< A follower that is told by another asks the store itself after this long without news.
+    Duration wait {}; ///< Long-poll timeout: maximum time that the store waits for a change.
+    Duration responseTimeout = std::chrono::milliseconds(1200); ///< Time beyond `wait` after which a call has failed.
+    Duration probeTimeout = std::chrono::milliseconds(500); ///< Response timeout while the store is unavailable.
+    Duration retryDelay = std::chrono::milliseconds(250); ///< Minimum delay after a failure; jitter can double it.
+    Duration coalesceDelay = std::chrono::milliseconds(100); ///< Delay after a change, to return several in one call.
+    Duration silence {}; ///< Time without updates after which a follower that does not poll calls the store itself.
     std::uint64_t seed = 1;
 };
 
-/// @brief The rows of a table and what is known of their age.
+/// @brief Local copy of a table, with its age and the availability of the store.
 struct FollowedTable {
     std::map<std::string, std::string> rows;
-    TimePoint asOf; ///< The rows were current then, at the earliest.
-    TimePoint lostAt; ///< When the store was last found unavailable; unset for never.
-    TimePoint regainedAt; ///< When it answered again after that.
+    TimePoint asOf; ///< Lower bound of the time at which the rows were current.
+    TimePoint lostAt; ///< Time at which the store was last found unavailable; unset for never.
+    TimePoint regainedAt; ///< Time at which the store recovered after that.
     bool available = false;
 };
 
-/// @brief An answer of the store, passed on from the instance that asked.
+/// @brief A response of the store, forwarded by the instance that received it.
 struct TableNews {
     std::string table;
-    std::uint64_t after = 0; ///< The changes follow on this version.
+    std::uint64_t after = 0; ///< The version that the changes apply to.
     store::FeedAnswer answer;
 
     friend bool operator==(const TableNews&, const TableNews&) = default;
 };
 
-/// @brief Keeps a copy of a table of the store: reads it whole, then asks for its changes, again and again.
+/// @brief Replicates a table of the store: reads it completely, then long-polls for changes.
 ///
-/// Where several instances follow the same table, one asks and tells the others; these ask only where news stay away or
-/// where one was missed. Not thread-safe; its owner runs on one thread, as do the feed's answers.
+/// If several instances follow the same table, one of them polls and forwards the changes to the others, which call the
+/// store only if updates stop or one was missed. Not thread-safe: calls and the feed's callbacks run on one thread.
 class TableFollower {
 public:
     using Changed = std::function<void(const FollowedTable&, bool rowsChanged)>;
-    /// @brief Runs work after a delay.
-    using After = std::function<void(Duration, std::function<void()>)>;
+    /// @brief Runs a function after a delay.
+    using RunAfter = std::function<void(Duration, std::function<void()>)>;
 
-    /// @brief Takes what the store answered, for the others.
-    using Tell = std::function<void(const TableNews&)>;
+    /// @brief Forwards an update to the other instances.
+    using Publish = std::function<void(const TableNews&)>;
 
-    /// @param tell May be empty.
-    TableFollower(
-        store::Feed& feed, const Clock& clock, FollowerOptions options, After after, Changed changed, Tell tell = {});
+    /// @param publish May be empty.
+    TableFollower(store::Feed& feed, const Clock& clock, FollowerOptions options, RunAfter after, Changed changed,
+        Publish publish = {});
     ~TableFollower();
     TableFollower(const TableFollower&) = delete;
     TableFollower& operator=(const TableFollower&) = delete;
 
     void start();
-    /// @brief Sets whether this follower asks the store, or is told by another.
+    /// @brief Sets whether this follower polls the store or receives updates from another instance.
     void setAsking(bool asking);
-    /// @brief Takes news from another instance.
+    /// @brief Handles an update from another instance.
     void onNews(const TableNews& news);
     const FollowedTable& table() const;
 
@@ -75,17 +74,19 @@
     std::shared_ptr<Impl> m_impl;
 };
 
-/// @brief Bounds the local time at which a reply of the store was made, by the store's own steady clock.
+/// @brief Computes a lower bound of the local time at which the store created a response, from the store's steady
+/// clock.
 ///
-/// A call that was sent at local time `s` and stamped by the store with `n` was answered after `s`; so a later stamp
-/// `m` was made after `s + (m - n)`. The latest such bound holds.
+/// A call sent at local time `s` and stamped `n` by the store was processed after `s`, so a later stamp `m` was created
+/// after `s + (m - n)`. The latest such bound is used.
 class StoreClockBound {
 public:
-    /// @brief Takes a call's local time of sending and the store's stamp.
-    /// @return The latest local time at which the reply can be said to have been made, at the earliest.
+    /// @brief Adds a call, given its local send time and the store's stamp.
+    /// @return Lower bound of the local time at which the response was created.
     TimePoint observe(TimePoint sentAt, Duration stamp);
-    /// @brief Like `observe`, for a reply that another instance got; empty before the first call of this one.
-    std::optional<TimePoint> observeTold(Duration stamp) const;
+    /// @brief Lower bound for a response that another instance received; empty before the first `observe` and for a
+    /// stamp older than the last one.
+    std::optional<TimePoint> observeForwarded(Duration stamp) const;
 
 private:
     bool m_seen = false;
--- a/src/foxtailwheel/control/Lease.cpp
+++ b/src/foxtailwheel/control/Lease.cpp
@@ -44,69 +44,70 @@
 
 LeaseStep Lease::step(TimePoint now) const
 {
-    if (m_waiting)
+    if (m_requestPending)
         return LeaseStep::None;
-    if (!m_known)
-        return now >= m_readAt ? LeaseStep::Read : LeaseStep::None;
+    if (!m_rowKnown)
+        return now >= m_nextReadAt ? LeaseStep::Read : LeaseStep::None;
     if (m_held)
         return now >= m_sentAt + m_options.renewAfter ? LeaseStep::Write : LeaseStep::None;
-    const bool free = m_rowVersion == 0 || now >= m_unchangedSince + m_options.life;
-    if (free)
+    const bool available = m_rowVersion == 0 || now >= m_unchangedSince + m_options.lifetime;
+    if (available)
         return LeaseStep::Write;
-    return now >= m_readAt ? LeaseStep::Read : LeaseStep::None;
+    return now >= m_nextReadAt ? LeaseStep::Read : LeaseStep::None;
 }
 
 store::Transaction Lease::beginWrite(TimePoint now)
 {
-    m_waiting = true;
+    m_requestPending = true;
     m_sentAt = now;
-    m_wanted = m_held ? LeaseRow { m_self, m_row.fencing, m_row.renewals + 1 }
-                      : LeaseRow { m_self, m_row.fencing.next(), 0 };
+    m_pendingRow = m_held ? LeaseRow { m_self, m_row.fencing, m_row.renewals + 1 }
+                          : LeaseRow { m_self, m_row.fencing.next(), 0 };
     const auto condition = m_rowVersion == 0 ? std::nullopt : std::optional(m_rowVersion);
-    return { { { m_key, condition } }, { { m_key, encodeLeaseRow(m_wanted) } } };
+    return { { { m_key, condition } }, { { m_key, encodeLeaseRow(m_pendingRow) } } };
 }
 
 void Lease::onRead(const store::ReadResult& result, TimePoint now)
 {
-    m_waiting = false;
-    m_readAt = now + readPeriod;
+    m_requestPending = false;
+    m_nextReadAt = now + readPeriod;
     if (!result.answered)
         return;
     const auto version = result.rows.empty() ? 0 : result.rows.front().version;
-    if (!m_known || version != m_rowVersion) {
+    if (!m_rowKnown || version != m_rowVersion) {
         m_rowVersion = version;
         m_unchangedSince = now;
         m_row = result.rows.empty() ? LeaseRow { {}, m_row.fencing, 0 }
                                     : decodeLeaseRow(result.rows.front().value).value_or(m_row);
     }
-    m_known = true;
+    m_rowKnown = true;
 }
 
 void Lease::onWrite(const store::TransactResult& result, TimePoint now)
 {
-    m_waiting = false;
+    m_requestPending = false;
     if (result.end == TransactEnd::Applied) {
         if (!m_held)
-            m_takenAt = now;
+            m_acquiredAt = now;
         m_held = true;
-        m_heldUntil = m_sentAt + m_options.life;
-        m_row = m_wanted;
+        m_heldUntil = m_sentAt + m_options.lifetime;
+        m_row = m_pendingRow;
         ++m_rowVersion;
         return;
     }
     if (result.end == TransactEnd::NotApplied)
         return;
-    // Lost to another, or unknown: what is there must be read, and watched for a whole life, before the next try.
+    // Another instance holds the lease, or the outcome is unknown: the row must be read, and observed unchanged for the
+    // full lifetime, before the next attempt.
     m_held = false;
-    m_known = false;
-    m_readAt = now;
+    m_rowKnown = false;
+    m_nextReadAt = now;
 }
 
 std::optional<FencingNumber> Lease::mayOrder(TimePoint now, bool fencingChecked) const
 {
-    const bool inTime = m_held && now < m_heldUntil - m_options.margin;
-    const bool waitedOut = fencingChecked || now >= m_takenAt + m_options.longestOrder;
-    if (!inTime || !waitedOut)
+    const bool inTime = m_held && now < m_heldUntil - m_options.safetyMargin;
+    const bool oldOrdersExpired = fencingChecked || now >= m_acquiredAt + m_options.longestOrder;
+    if (!inTime || !oldOrdersExpired)
         return std::nullopt;
     return m_row.fencing;
 }
--- a/src/foxtailwheel/control/LeaseTest.cpp
+++ b/src/foxtailwheel/control/LeaseTest.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// One row under conditional writes, with answers that may be lost.
+/// A single row with conditional writes.
 struct RowStore {
     std::string value;
     std::uint64_t version = 0;
@@ -38,7 +38,7 @@
     }
 };
 
-/// An instance whose clock may be held up between asking and acting.
+/// An instance that may be paused between two steps.
 struct Contender {
     explicit Contender(const std::string& name)
         : lease(ServiceId("generate"), InstanceId(name), LeaseOptions {})
@@ -69,7 +69,7 @@
 
 } // namespace
 
-Test(Lease, oneHolderAtATimeUnderPausesAndLostAnswers)
+Test(Lease, atMostOneHolderUnderPausesAndLostResponses)
 {
     for (std::uint64_t seed = 0; seed < 200; ++seed) {
         Random random(seed);
@@ -89,17 +89,17 @@
                 const auto fencing = it.lease.mayOrder(now, true);
                 holders += fencing ? 1 : 0;
                 if (fencing) {
-                    cr_assert(*fencing >= highest, "seed %lu: a holder orders with an old number", seed);
+                    cr_assert(*fencing >= highest, "seed %lu: a holder uses an outdated fencing number", seed);
                     highest = *fencing;
                 }
             }
             cr_assert_leq(holders, 1U, "seed %lu: two holders", seed);
         }
-        cr_assert(highest.value() > 0, "seed %lu: nobody ever held the lease", seed);
+        cr_assert(highest.value() > 0, "seed %lu: no instance ever acquired the lease", seed);
     }
 }
 
-Test(Lease, aNewHolderWaitsOutOldOrdersWhereEnginesIgnoreNumbers)
+Test(Lease, newHolderWaitsForOldOrdersIfEnginesIgnoreFencing)
 {
     RowStore store;
     Random random(1);
@@ -112,7 +112,7 @@
     cr_assert(contender.lease.mayOrder(now + LeaseOptions().longestOrder, false).has_value());
 }
 
-Test(Lease, aHolderThatCannotRenewStopsBeforeItsLeaseEnds)
+Test(Lease, holderStopsBeforeExpiryWithoutRenewal)
 {
     RowStore store;
     Random random(1);
@@ -121,6 +121,6 @@
     step(contender, store, now, random);
     step(contender, store, now, random);
     const LeaseOptions options;
-    cr_assert(contender.lease.mayOrder(now + options.life - options.margin - 1ms, true).has_value());
-    cr_assert(!contender.lease.mayOrder(now + options.life - options.margin, true).has_value());
+    cr_assert(contender.lease.mayOrder(now + options.lifetime - options.safetyMargin - 1ms, true).has_value());
+    cr_assert(!contender.lease.mayOrder(now + options.lifetime - options.safetyMargin, true).has_value());
 }
--- a/src/foxtailwheel/control/OutcomePropertyTest.cpp
+++ b/src/foxtailwheel/control/OutcomePropertyTest.cpp
@@ -13,7 +13,7 @@
 constexpr std::size_t requestsPerSchedule = 6;
 constexpr std::uint64_t schedulesPerCase = 250;
 
-/// Runs schedules from `seed` on; with RapidCheck's 100 cases a property tries 25,000 schedules.
+/// Runs the schedules of one case. With RapidCheck's 100 cases a property covers 25,000 schedules.
 FaultCounts runSchedules(std::uint64_t seed, const FaultRates& rates)
 {
     FaultCounts all;
@@ -22,7 +22,7 @@
     return all;
 }
 
-void checkClean(const FaultCounts& counts)
+void assertNoViolations(const FaultCounts& counts)
 {
     RC_ASSERT(counts.lost == 0U);
     RC_ASSERT(counts.doubled == 0U);
@@ -32,39 +32,40 @@
 
 } // namespace
 
-Test(OutcomeProperty, allFaultsTogether)
+Test(OutcomeProperty, allFaultsCombined)
 {
-    cr_assert(rc::check("all faults", [](std::uint32_t seed) { checkClean(runSchedules(seed, {})); }));
+    cr_assert(rc::check("all faults", [](std::uint32_t seed) { assertNoViolations(runSchedules(seed, {})); }));
 }
 
-Test(OutcomeProperty, tableLosesAnswers)
+Test(OutcomeProperty, tableLosesResponses)
 {
     FaultRates rates;
     rates.tableLost = 0.5;
     rates.tableDown = 0.2;
     rates.callerRepeats = 1;
-    cr_assert(
-        rc::check("table loses answers", [&rates](std::uint32_t seed) { checkClean(runSchedules(seed, rates)); }));
+    cr_assert(rc::check(
+        "table loses responses", [&rates](std::uint32_t seed) { assertNoViolations(runSchedules(seed, rates)); }));
 }
 
-Test(OutcomeProperty, callsBreak)
+Test(OutcomeProperty, callsFail)
 {
     FaultRates rates;
     rates.callLost = 0.3;
     rates.callBroken = 0.3;
     rates.callRefused = 0.2;
-    cr_assert(rc::check("calls break", [&rates](std::uint32_t seed) { checkClean(runSchedules(seed, rates)); }));
+    cr_assert(rc::check("calls fail", [&rates](std::uint32_t seed) { assertNoViolations(runSchedules(seed, rates)); }));
 }
 
-Test(OutcomeProperty, instancesDie)
+Test(OutcomeProperty, instancesCrash)
 {
     FaultRates rates;
     rates.instanceDies = 0.7;
     rates.callerRepeats = 1;
-    cr_assert(rc::check("instances die", [&rates](std::uint32_t seed) { checkClean(runSchedules(seed, rates)); }));
+    cr_assert(
+        rc::check("instances crash", [&rates](std::uint32_t seed) { assertNoViolations(runSchedules(seed, rates)); }));
 }
 
-Test(OutcomeProperty, withoutTheTableNothingWithAnEffectRunsAndTheRestGoesOn)
+Test(OutcomeProperty, withoutTheTableOnlyCallsWithoutEffectsRun)
 {
     FaultRates rates;
     rates.tableDown = 1;
--- a/src/foxtailwheel/control/ServerWatch.cpp
+++ b/src/foxtailwheel/control/ServerWatch.cpp
@@ -4,19 +4,19 @@
 
 namespace foxtailwheel::control {
 
-void ServerWatch::update(const std::map<BackendServerId, serving::AnnouncedServer>& entries, TimePoint lostAt,
-    TimePoint regainedAt, TimePoint now)
+void ServerWatch::update(const std::map<BackendServerId, serving::AnnouncedServer>& entries,
+    TimePoint lastUnavailableAt, TimePoint recoveredAt, TimePoint now)
 {
     for (const auto& [id, server] : entries)
         m_entries[id] = { server, std::nullopt };
-    const bool afterOutage = lostAt != TimePoint {} && now - regainedAt < outageMemory;
+    const bool afterOutage = lastUnavailableAt != TimePoint {} && now - recoveredAt < outageEffectPeriod;
     for (auto it = m_entries.begin(); it != m_entries.end();) {
         auto& entry = it->second;
         if (entries.contains(it->first)) {
             ++it;
-        } else if (entry.missingUntil || (afterOutage && !entry.server.leaving)) {
-            if (!entry.missingUntil)
-                entry.missingUntil = regainedAt + returnTime;
+        } else if (entry.expiresAt || (afterOutage && !entry.server.leaving)) {
+            if (!entry.expiresAt)
+                entry.expiresAt = recoveredAt + reannounceGracePeriod;
             ++it;
         } else {
             it = m_entries.erase(it);
@@ -28,7 +28,7 @@
 bool ServerWatch::expire(TimePoint now)
 {
     return std::erase_if(m_entries, [now](const auto& it) {
-        return it.second.missingUntil && *it.second.missingUntil <= now;
+        return it.second.expiresAt && *it.second.expiresAt <= now;
     }) > 0;
 }
 
@@ -36,8 +36,8 @@
 {
     std::optional<TimePoint> next;
     for (const auto& it : m_entries) {
-        if (it.second.missingUntil && (!next || *it.second.missingUntil < *next))
-            next = it.second.missingUntil;
+        if (it.second.expiresAt && (!next || *it.second.expiresAt < *next))
+            next = it.second.expiresAt;
     }
     return next;
 }
--- a/src/foxtailwheel/control/TableFollower.cpp
+++ b/src/foxtailwheel/control/TableFollower.cpp
@@ -6,7 +6,7 @@
 
 TimePoint StoreClockBound::observe(TimePoint sentAt, Duration stamp)
 {
-    // A stamp that goes back is another clock: a store that was replaced.
+    // A stamp that decreases comes from a different clock, because the store was replaced.
     if (!m_seen || stamp < m_stamp || sentAt - stamp > m_local - m_stamp) {
         m_seen = true;
         m_local = sentAt;
@@ -18,7 +18,7 @@
     return m_local;
 }
 
-std::optional<TimePoint> StoreClockBound::observeTold(Duration stamp) const
+std::optional<TimePoint> StoreClockBound::observeForwarded(Duration stamp) const
 {
     if (!m_seen || stamp < m_stamp)
         return std::nullopt;
@@ -26,132 +26,133 @@
 }
 
 struct TableFollower::Impl : std::enable_shared_from_this<TableFollower::Impl> {
-    Impl(store::Feed& f, const Clock& c, FollowerOptions o, After a, Changed ch, Tell t)
+    Impl(store::Feed& f, const Clock& c, FollowerOptions o, RunAfter a, Changed ch, Publish t)
         : feed(f)
         , clock(c)
         , options(std::move(o))
         , after(std::move(a))
         , changed(std::move(ch))
-        , tell(std::move(t))
+        , publish(std::move(t))
         , random(options.seed)
     {
     }
 
-    void ask();
-    void askLater(Duration delay);
-    void goOn(bool changesCame);
-    void watch();
-    void takeNews(const TableNews& news);
-    void take(store::FeedAnswer answer, TimePoint sentAt, std::uint64_t after);
-    bool merge(std::vector<store::FeedRow> rows);
-    void lost();
+    void poll();
+    void pollAfter(Duration delay);
+    void scheduleNext(bool hasChanges);
+    void watchForSilence();
+    void onUpdate(const TableNews& news);
+    void onResponse(store::FeedAnswer answer, TimePoint sentAt, std::uint64_t after);
+    bool applyRows(std::vector<store::FeedRow> rows);
+    void onUnavailable();
 
     store::Feed& feed;
     const Clock& clock;
     FollowerOptions options;
-    After after;
+    RunAfter after;
     Changed changed;
-    Tell tell;
+    Publish publish;
     Random random;
     FollowedTable table;
     StoreClockBound bound;
     std::uint64_t version = 0;
-    bool whole = false; ///< The table was read and its history is unbroken since.
-    bool asking = true;
-    bool inCall = false; ///< A call, or the pause before one.
+    bool synced = false; ///< The table was read completely and no change was missed since.
+    bool polling = true;
+    bool callPending = false; ///< A call is in progress or scheduled.
     bool watching = false;
-    TimePoint heardAt;
+    TimePoint lastUpdateAt;
 };
 
-void TableFollower::Impl::ask()
+void TableFollower::Impl::poll()
 {
     const auto now = clock.now();
-    inCall = true;
+    callPending = true;
     auto done = [weak = weak_from_this(), now, from = version](store::FeedAnswer answer) {
         if (const auto self = weak.lock())
-            self->take(std::move(answer), now, from);
+            self->onResponse(std::move(answer), now, from);
     };
-    // A follower that is told by another asks only to catch up, so the store need not hold its call.
-    // While the store is away it is asked briefly and often, so that its return is seen soon.
-    const bool away = !table.available && table.lostAt != TimePoint {};
-    const auto wait = asking && !away ? options.wait : Duration {};
-    const auto limit = away && whole ? options.probeLimit : options.answerLimit;
-    if (!whole)
-        feed.readAll(options.table, now + limit, std::move(done));
+    // A follower that does not poll only catches up, so its call does not wait for a change.
+    // While the store is unavailable, short calls in quick succession detect its recovery early.
+    const bool unavailable = !table.available && table.lostAt != TimePoint {};
+    const auto wait = polling && !unavailable ? options.wait : Duration {};
+    const auto timeout = unavailable && synced ? options.probeTimeout : options.responseTimeout;
+    if (!synced)
+        feed.readAll(options.table, now + timeout, std::move(done));
     else
-        feed.changes(options.table, version, wait, now + wait + limit, std::move(done));
+        feed.changes(options.table, version, wait, now + wait + timeout, std::move(done));
 }
 
-void TableFollower::Impl::askLater(Duration delay)
+void TableFollower::Impl::pollAfter(Duration delay)
 {
-    inCall = true;
+    callPending = true;
     after(delay, [weak = weak_from_this()] {
         if (const auto self = weak.lock())
-            self->ask();
+            self->poll();
     });
 }
 
-/// Asks again, or waits for news. Where much changes at once, as when servers start, one call brings many changes.
-void TableFollower::Impl::goOn(bool changesCame)
+/// Schedules the next call, or waits for updates. The delay after a change lets one call return many changes, for
+/// example when servers start.
+void TableFollower::Impl::scheduleNext(bool hasChanges)
 {
-    if ((asking || !whole) && changesCame)
-        askLater(options.gather);
-    else if (asking || !whole)
-        ask();
+    if ((polling || !synced) && hasChanges)
+        pollAfter(options.coalesceDelay);
+    else if (polling || !synced)
+        poll();
     else
-        watch();
+        watchForSilence();
 }
 
-void TableFollower::Impl::watch()
+void TableFollower::Impl::watchForSilence()
 {
     if (std::exchange(watching, true))
         return;
-    after(std::max<Duration>(heardAt + options.silence - clock.now(), Duration {}), [weak = weak_from_this()] {
+    after(std::max<Duration>(lastUpdateAt + options.silence - clock.now(), Duration {}), [weak = weak_from_this()] {
         const auto self = weak.lock();
         if (!self)
             return;
         self->watching = false;
-        if (self->inCall)
+        if (self->callPending)
             return;
-        if (self->asking || self->clock.now() - self->heardAt >= self->options.silence)
-            self->ask();
+        if (self->polling || self->clock.now() - self->lastUpdateAt >= self->options.silence)
+            self->poll();
         else
-            self->watch();
+            self->watchForSilence();
     });
 }
 
-void TableFollower::Impl::takeNews(const TableNews& news)
+void TableFollower::Impl::onUpdate(const TableNews& news)
 {
-    if (!whole || news.answer.version <= version) {
-        // Nothing new in the rows, but the table was as it is here at the store's time.
-        if (!whole || news.answer.version < version)
+    if (!synced || news.answer.version <= version) {
+        // The same version contains no new changes, but confirms that the table was current at the store's time.
+        if (!synced || news.answer.version < version)
             return;
     } else if (news.after > version) {
-        if (!inCall)
-            ask();
+        if (!callPending)
+            poll();
         return;
     }
-    const auto asOf = bound.observeTold(news.answer.storeTime);
+    const auto asOf = bound.observeForwarded(news.answer.storeTime);
     if (!asOf)
         return;
-    heardAt = clock.now();
+    lastUpdateAt = clock.now();
     table.asOf = std::max(table.asOf, *asOf);
-    const bool rowsChanged = merge(news.answer.rows);
+    const bool rowsChanged = applyRows(news.answer.rows);
     version = std::max(version, news.answer.version);
     changed(table, rowsChanged);
 }
 
-bool TableFollower::Impl::merge(std::vector<store::FeedRow> rows)
+bool TableFollower::Impl::applyRows(std::vector<store::FeedRow> rows)
 {
-    if (!whole) {
+    if (!synced) {
         std::map<std::string, std::string> read;
         for (auto& it : rows) {
             if (it.value)
                 read[it.key] = std::move(*it.value);
         }
-        const bool differs = read != table.rows;
+        const bool rowsDiffer = read != table.rows;
         table.rows = std::move(read);
-        return differs;
+        return rowsDiffer;
     }
     for (auto& it : rows) {
         if (it.value)
@@ -162,46 +163,46 @@
     return !rows.empty();
 }
 
-void TableFollower::Impl::lost()
+void TableFollower::Impl::onUnavailable()
 {
     const auto now = clock.now();
     table.lostAt = now;
     if (std::exchange(table.available, false))
         changed(table, false);
-    // One that is told by another leaves the probing to that one, and asks only as often as it would without news.
-    const auto pause = asking || !whole ? options.pause : options.silence / 2;
-    askLater(pause + fromSeconds(toSeconds(pause) * random.uniform()));
+    // A follower that does not poll leaves probing to the polling instance, and calls only as often as without updates.
+    const auto retryDelay = polling || !synced ? options.retryDelay : options.silence / 2;
+    pollAfter(retryDelay + fromSeconds(toSeconds(retryDelay) * random.uniform()));
 }
 
-void TableFollower::Impl::take(store::FeedAnswer answer, TimePoint sentAt, std::uint64_t from)
+void TableFollower::Impl::onResponse(store::FeedAnswer answer, TimePoint sentAt, std::uint64_t from)
 {
-    inCall = false;
+    callPending = false;
     if (answer.end == store::FeedEnd::Unavailable) {
-        lost();
+        onUnavailable();
         return;
     }
     if (answer.end == store::FeedEnd::HistoryLost) {
-        whole = false;
-        ask();
+        synced = false;
+        poll();
         return;
     }
     if (!std::exchange(table.available, true))
         table.regainedAt = clock.now();
-    heardAt = clock.now();
+    lastUpdateAt = clock.now();
     table.asOf = std::max(table.asOf, bound.observe(sentAt, answer.storeTime));
-    if (tell && asking && whole)
-        tell({ options.table, from, answer });
-    const bool rowsChanged = merge(std::move(answer.rows));
-    const bool followed = std::exchange(whole, true);
+    if (publish && polling && synced)
+        publish({ options.table, from, answer });
+    const bool rowsChanged = applyRows(std::move(answer.rows));
+    const bool wasSynced = std::exchange(synced, true);
     version = std::max(version, answer.version);
     changed(table, rowsChanged);
-    goOn(followed && rowsChanged);
+    scheduleNext(wasSynced && rowsChanged);
 }
 
 TableFollower::TableFollower(
-    store::Feed& feed, const Clock& clock, FollowerOptions options, After after, Changed changed, Tell tell)
-    : m_impl(
-        std::make_shared<Impl>(feed, clock, std::move(options), std::move(after), std::move(changed), std::move(tell)))
+    store::Feed& feed, const Clock& clock, FollowerOptions options, RunAfter after, Changed changed, Publish publish)
+    : m_impl(std::make_shared<Impl>(
+        feed, clock, std::move(options), std::move(after), std::move(changed), std::move(publish)))
 {
 }
 
@@ -209,20 +210,20 @@
 
 void TableFollower::start()
 {
-    m_impl->ask();
+    m_impl->poll();
 }
 
-void TableFollower::setAsking(bool asking)
+void TableFollower::setAsking(bool polling)
 {
-    if (std::exchange(m_impl->asking, asking) == asking || !asking)
+    if (std::exchange(m_impl->polling, polling) == polling || !polling)
         return;
-    if (!m_impl->inCall && m_impl->whole)
-        m_impl->ask();
+    if (!m_impl->callPending && m_impl->synced)
+        m_impl->poll();
 }
 
 void TableFollower::onNews(const TableNews& news)
 {
-    m_impl->takeNews(news);
+    m_impl->onUpdate(news);
 }
 
 const FollowedTable& TableFollower::table() const
--- a/src/foxtailwheel/control/TableFollowerTest.cpp
+++ b/src/foxtailwheel/control/TableFollowerTest.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 struct FakeFeed final : store::Feed {
-    struct Asked {
+    struct Call {
         bool whole = false;
         std::uint64_t after = 0;
         Duration wait {};
@@ -25,25 +25,25 @@
 
     void readAll(const std::string& /*table*/, TimePoint /*deadline*/, Done done) override
     {
-        asked.push_back({ true, 0, {}, std::move(done) });
+        calls.push_back({ true, 0, {}, std::move(done) });
     }
     void changes(
         const std::string& /*table*/, std::uint64_t after, Duration wait, TimePoint /*deadline*/, Done done) override
     {
-        asked.push_back({ false, after, wait, std::move(done) });
+        calls.push_back({ false, after, wait, std::move(done) });
     }
     void answer(FeedAnswer answer)
     {
-        auto next = std::move(asked.front());
-        asked.pop_front();
+        auto next = std::move(calls.front());
+        calls.pop_front();
         next.done(std::move(answer));
     }
 
-    std::deque<Asked> asked;
+    std::deque<Call> calls;
 };
 
-struct World {
-    World()
+struct Fixture {
+    Fixture()
     {
         control::FollowerOptions options;
         options.table = "op";
@@ -52,9 +52,9 @@
         clock.set(TimePoint(1h));
         follower = std::make_unique<TableFollower>(
             feed, clock, options,
-            [this](Duration d, std::function<void()> work) { later.emplace_back(d, std::move(work)); },
+            [this](Duration d, std::function<void()> work) { scheduled.emplace_back(d, std::move(work)); },
             [this](const control::FollowedTable&, bool rows) { changes += rows ? 1 : 0; },
-            [this](const TableNews& it) { told.push_back(it); });
+            [this](const TableNews& it) { forwarded.push_back(it); });
         follower->start();
     }
 
@@ -63,126 +63,127 @@
         return { FeedEnd::Answered, std::move(rows), version, stamp };
     }
 
-    void runLater(Duration passed)
+    void runScheduled(Duration passed)
     {
         clock.advance(passed);
-        for (auto& it : std::exchange(later, {}))
+        for (auto& it : std::exchange(scheduled, {}))
             it.second();
     }
 
     ManualClock clock;
     FakeFeed feed;
-    std::vector<std::pair<Duration, std::function<void()>>> later;
-    std::vector<TableNews> told;
+    std::vector<std::pair<Duration, std::function<void()>>> scheduled;
+    std::vector<TableNews> forwarded;
     int changes = 0;
     std::unique_ptr<TableFollower> follower;
 };
 
 } // namespace
 
-Test(TableFollower, readsTheTableThenAsksForChanges)
+Test(TableFollower, readsTheTableThenPollsForChanges)
 {
-    World world;
-    world.feed.answer(World::rows(5, { { "config", "one" } }));
-    cr_assert_eq(world.feed.asked.front().after, 5);
-    world.feed.answer(World::rows(7, { { "config", "two" }, { "old", std::nullopt } }));
-    cr_assert_eq(world.follower->table().rows.at("config"), "two");
-    cr_assert_eq(world.changes, 2);
-    cr_assert_eq(world.told.size(), 1, "changes are told to the others, the first reading is not");
+    Fixture fixture;
+    fixture.feed.answer(Fixture::rows(5, { { "config", "one" } }));
+    cr_assert_eq(fixture.feed.calls.front().after, 5);
+    fixture.feed.answer(Fixture::rows(7, { { "config", "two" }, { "old", std::nullopt } }));
+    cr_assert_eq(fixture.follower->table().rows.at("config"), "two");
+    cr_assert_eq(fixture.changes, 2);
+    cr_assert_eq(fixture.forwarded.size(), 1, "changes are forwarded, the initial read is not");
 }
 
-Test(TableFollower, changesInQuickSuccessionComeWithOneCall)
+Test(TableFollower, coalescesChangesInQuickSuccession)
 {
-    World world;
-    world.feed.answer(World::rows(5, { { "a", "1" } }));
-    world.feed.answer(World::rows(6, { { "b", "1" } }));
-    cr_assert_eq(world.feed.asked.size(), 0, "others may change within a moment");
-    cr_assert_eq(world.later.back().first, 100ms);
-    world.runLater(100ms);
-    cr_assert_eq(world.feed.asked.front().after, 6);
-    world.feed.answer(World::rows(6, {}));
-    cr_assert_eq(world.feed.asked.size(), 1, "without changes the next call follows at once");
+    Fixture fixture;
+    fixture.feed.answer(Fixture::rows(5, { { "a", "1" } }));
+    fixture.feed.answer(Fixture::rows(6, { { "b", "1" } }));
+    cr_assert_eq(fixture.feed.calls.size(), 0, "the next call is delayed to coalesce changes");
+    cr_assert_eq(fixture.scheduled.back().first, 100ms);
+    fixture.runScheduled(100ms);
+    cr_assert_eq(fixture.feed.calls.front().after, 6);
+    fixture.feed.answer(Fixture::rows(6, {}));
+    cr_assert_eq(fixture.feed.calls.size(), 1, "without changes the next call follows immediately");
 }
 
-Test(TableFollower, aLostHistoryIsReadAnew)
+Test(TableFollower, readsTheTableAgainAfterLostHistory)
 {
-    World world;
-    world.feed.answer(World::rows(5, { { "a", "1" }, { "b", "2" } }));
-    world.feed.answer({ FeedEnd::HistoryLost, {}, 0, {} });
-    cr_assert(world.feed.asked.front().whole);
-    world.feed.answer(World::rows(9, { { "b", "3" } }));
-    cr_assert_eq(world.follower->table().rows.size(), 1);
-    cr_assert_eq(world.follower->table().rows.at("b"), "3");
+    Fixture fixture;
+    fixture.feed.answer(Fixture::rows(5, { { "a", "1" }, { "b", "2" } }));
+    fixture.feed.answer({ FeedEnd::HistoryLost, {}, 0, {} });
+    cr_assert(fixture.feed.calls.front().whole);
+    fixture.feed.answer(Fixture::rows(9, { { "b", "3" } }));
+    cr_assert_eq(fixture.follower->table().rows.size(), 1);
+    cr_assert_eq(fixture.follower->table().rows.at("b"), "3");
 }
 
-Test(TableFollower, anUnavailableStoreIsAskedAgainAfterAPauseAndTheRowsStay)
+Test(TableFollower, keepsRowsAndRetriesWhileTheStoreIsUnavailable)
 {
-    World world;
-    world.feed.answer(World::rows(5, { { "a", "1" } }));
-    world.feed.answer({ FeedEnd::Unavailable, {}, 0, {} });
-    cr_assert(!world.follower->table().available);
-    cr_assert_eq(world.follower->table().rows.size(), 1);
-    cr_assert(world.feed.asked.empty());
-    world.runLater(500ms);
-    cr_assert_eq(world.feed.asked.front().after, 5);
-    cr_assert(world.feed.asked.front().wait == Duration {}, "its return is to be seen soon");
-    world.feed.answer(World::rows(5, {}));
-    cr_assert(world.follower->table().available);
-    cr_assert(world.feed.asked.front().wait == 1500ms);
+    Fixture fixture;
+    fixture.feed.answer(Fixture::rows(5, { { "a", "1" } }));
+    fixture.feed.answer({ FeedEnd::Unavailable, {}, 0, {} });
+    cr_assert(!fixture.follower->table().available);
+    cr_assert_eq(fixture.follower->table().rows.size(), 1);
+    cr_assert(fixture.feed.calls.empty());
+    fixture.runScheduled(500ms);
+    cr_assert_eq(fixture.feed.calls.front().after, 5);
+    cr_assert(fixture.feed.calls.front().wait == Duration {}, "a call to an unavailable store does not wait");
+    fixture.feed.answer(Fixture::rows(5, {}));
+    cr_assert(fixture.follower->table().available);
+    cr_assert(fixture.feed.calls.front().wait == 1500ms);
 }
 
-Test(TableFollower, oneThatIsToldAsksNothingWhileNewsCome)
+Test(TableFollower, doesNotCallTheStoreWhileUpdatesArrive)
 {
-    World world;
-    world.feed.answer(World::rows(5, { { "a", "1" } }, 10s));
-    world.follower->setAsking(false);
-    world.feed.answer(World::rows(5, {}, 11s));
-    cr_assert(world.feed.asked.empty());
+    Fixture fixture;
+    fixture.feed.answer(Fixture::rows(5, { { "a", "1" } }, 10s));
+    fixture.follower->setAsking(false);
+    fixture.feed.answer(Fixture::rows(5, {}, 11s));
+    cr_assert(fixture.feed.calls.empty());
     for (std::uint64_t i = 0; i < 5; ++i) {
-        world.clock.advance(1500ms);
-        world.follower->onNews({ "op", 5 + i, World::rows(6 + i, { { "a", std::to_string(i) } }, 12s + i * 1500ms) });
-        world.runLater(0ms);
+        fixture.clock.advance(1500ms);
+        fixture.follower->onNews(
+            { "op", 5 + i, Fixture::rows(6 + i, { { "a", std::to_string(i) } }, 12s + i * 1500ms) });
+        fixture.runScheduled(0ms);
     }
-    cr_assert(world.feed.asked.empty());
-    cr_assert_eq(world.follower->table().rows.at("a"), "4");
-    cr_assert_gt(world.follower->table().asOf, TimePoint(1h) + 6s);
+    cr_assert(fixture.feed.calls.empty());
+    cr_assert_eq(fixture.follower->table().rows.at("a"), "4");
+    cr_assert_gt(fixture.follower->table().asOf, TimePoint(1h) + 6s);
 }
 
-Test(TableFollower, oneThatHearsNothingAsksTheStore)
+Test(TableFollower, callsTheStoreIfUpdatesStop)
 {
-    World world;
-    world.feed.answer(World::rows(5, {}));
-    world.follower->setAsking(false);
-    world.feed.answer(World::rows(5, {}));
-    world.runLater(2s);
-    cr_assert_eq(world.feed.asked.size(), 1);
-    cr_assert_eq(world.feed.asked.front().wait, Duration {});
+    Fixture fixture;
+    fixture.feed.answer(Fixture::rows(5, {}));
+    fixture.follower->setAsking(false);
+    fixture.feed.answer(Fixture::rows(5, {}));
+    fixture.runScheduled(2s);
+    cr_assert_eq(fixture.feed.calls.size(), 1);
+    cr_assert_eq(fixture.feed.calls.front().wait, Duration {});
 }
 
-Test(TableFollower, oneThatMissedNewsAsksTheStore)
+Test(TableFollower, callsTheStoreAfterAMissedUpdate)
 {
-    World world;
-    world.feed.answer(World::rows(5, { { "a", "1" } }));
-    world.follower->setAsking(false);
-    world.feed.answer(World::rows(5, {}));
-    world.follower->onNews({ "op", 8, World::rows(9, { { "b", "2" } }) });
-    cr_assert_eq(world.follower->table().rows.count("b"), 0, "a change between them is not known");
-    cr_assert_eq(world.feed.asked.front().after, 5);
+    Fixture fixture;
+    fixture.feed.answer(Fixture::rows(5, { { "a", "1" } }));
+    fixture.follower->setAsking(false);
+    fixture.feed.answer(Fixture::rows(5, {}));
+    fixture.follower->onNews({ "op", 8, Fixture::rows(9, { { "b", "2" } }) });
+    cr_assert_eq(fixture.follower->table().rows.count("b"), 0, "an update with a gap must not be applied");
+    cr_assert_eq(fixture.feed.calls.front().after, 5);
 }
 
-Test(TableFollower, newsOfAnEarlierVersionChangeNothing)
+Test(TableFollower, ignoresUpdatesOfEarlierVersions)
 {
-    World world;
-    world.feed.answer(World::rows(5, { { "a", "new" } }));
-    world.follower->onNews({ "op", 2, World::rows(4, { { "a", "old" } }) });
-    cr_assert_eq(world.follower->table().rows.at("a"), "new");
+    Fixture fixture;
+    fixture.feed.answer(Fixture::rows(5, { { "a", "new" } }));
+    fixture.follower->onNews({ "op", 2, Fixture::rows(4, { { "a", "old" } }) });
+    cr_assert_eq(fixture.follower->table().rows.at("a"), "new");
 }
 
-Test(StoreClockBound, aReplyIsNeverThoughtYoungerThanItIs)
+Test(StoreClockBound, neverExceedsTheTimeOfTheResponse)
 {
     StoreClockBound bound;
     const TimePoint t(1h);
-    // The store's clock runs 1 h - 10 s behind; replies take from 1 ms to 900 ms each way.
+    // The store's clock is 1 h - 10 s behind; calls take from 1 ms to 900 ms each way.
     const auto truth = [t](Duration stamp) { return t + stamp - 10s; };
     const std::vector<std::pair<Duration, Duration>> calls { { 0ms, 10s + 500ms }, { 2s, 12s + 1ms },
         { 3s, 13s + 900ms }, { 6s, 17500ms } };
@@ -191,8 +192,8 @@
         cr_assert_leq(asOf, truth(stamp));
         cr_assert_geq(asOf, t + sent);
     }
-    cr_assert_geq(*bound.observeTold(20s), truth(20s) - 1ms);
-    cr_assert(!StoreClockBound().observeTold(20s));
+    cr_assert_geq(*bound.observeForwarded(20s), truth(20s) - 1ms);
+    cr_assert(!StoreClockBound().observeForwarded(20s));
 }
 
 namespace {
@@ -212,26 +213,26 @@
 
 } // namespace
 
-Test(ServerWatch, aRemovedEntryIsGoneAtOnce)
+Test(ServerRegistry, removesServerWithItsEntry)
 {
-    control::ServerWatch watch;
+    control::ServerWatch registry;
     const TimePoint t(1h);
-    watch.update(entries({ entry("s1"), entry("s2") }), {}, t, t);
-    watch.update(entries({ entry("s2") }), {}, t, t + 10s);
-    cr_assert_eq(watch.servers().size(), 1);
+    registry.update(entries({ entry("s1"), entry("s2") }), {}, t, t);
+    registry.update(entries({ entry("s2") }), {}, t, t + 10s);
+    cr_assert_eq(registry.servers().size(), 1);
 }
 
-Test(ServerWatch, entriesThatLapsedInAnOutageAreKeptForAWhileAfterIt)
+Test(ServerRegistry, retainsEntriesThatExpiredDuringAnOutage)
 {
-    control::ServerWatch watch;
+    control::ServerWatch registry;
     const TimePoint t(1h);
-    watch.update(entries({ entry("s1"), entry("s2"), entry("s3", true) }), {}, t, t);
-    const auto back = t + 20s;
-    watch.update(entries({}), back - 1s, back, back + 100ms);
-    cr_assert_eq(watch.servers().size(), 2, "a server that said it leaves is not kept");
-    watch.update(entries({ entry("s1") }), back - 1s, back, back + 1s);
-    cr_assert_eq(watch.servers().size(), 2);
-    cr_assert(watch.expire(back + 2200ms));
-    cr_assert_eq(watch.servers().size(), 1);
-    cr_assert(!watch.nextExpiry());
+    registry.update(entries({ entry("s1"), entry("s2"), entry("s3", true) }), {}, t, t);
+    const auto recoveredAt = t + 20s;
+    registry.update(entries({}), recoveredAt - 1s, recoveredAt, recoveredAt + 100ms);
+    cr_assert_eq(registry.servers().size(), 2, "a leaving server is not retained");
+    registry.update(entries({ entry("s1") }), recoveredAt - 1s, recoveredAt, recoveredAt + 1s);
+    cr_assert_eq(registry.servers().size(), 2);
+    cr_assert(registry.expire(recoveredAt + 2200ms));
+    cr_assert_eq(registry.servers().size(), 1);
+    cr_assert(!registry.nextExpiry());
 }
