--- a/include/foxtailwheel/telemetry/Metrics.h
+++ b/include/foxtailwheel/telemetry/Metrics.h
@@ -9,28 +9,28 @@
 
 namespace foxtailwheel::telemetry {
 
-/// @brief One label of a metric.
+/// @brief A label of a metric.
 struct Label {
     std::string name;
     std::string value;
 };
 
-/// @brief Labels of a metric in a fixed order.
+/// @brief Labels of a metric. Their order is part of the identity of a time series.
 using Labels = std::vector<Label>;
 
-/// @brief Counters, gauges and time distributions of one process; thread-safe, in shards by metric.
+/// @brief Counters, gauges and duration summaries of a process. Thread-safe; sharded by metric name.
 class Metrics {
 public:
     static std::unique_ptr<Metrics> create();
     virtual ~Metrics() = default;
 
-    /// @brief Adds to a counter.
+    /// @brief Increments a counter by `n`.
     virtual void count(const std::string& name, const Labels& labels, double n = 1) = 0;
     /// @brief Sets a gauge.
     virtual void gauge(const std::string& name, const Labels& labels, double value) = 0;
-    /// @brief Adds a measured time; median, 95th and 99th in 100 are kept.
+    /// @brief Adds a duration to a summary, exported in seconds with the 0.5, 0.95 and 0.99 quantiles.
     virtual void time(const std::string& name, const Labels& labels, Duration d) = 0;
-    /// @brief All metrics in Prometheus text form.
+    /// @brief Serializes all metrics in the Prometheus text format.
     virtual std::string text() const = 0;
 };
 
--- a/src/foxtailwheel/telemetry/LineWriter.cpp
+++ b/src/foxtailwheel/telemetry/LineWriter.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 
-    /// A pipe that can be written to takes this much at once without blocking (POSIX).
-    constexpr std::size_t pieceBytes = PIPE_BUF;
+    /// POSIX guarantees that a write of this size does not block on a pipe that polls as writable.
+    constexpr std::size_t maxWriteBytes = PIPE_BUF;
 
-    bool writable(int fd)
+    bool isWritable(int fd)
     {
         pollfd poll { fd, POLLOUT, 0 };
         return ::poll(&poll, 1, 0) == 1 && (poll.revents & POLLOUT) != 0;
@@ -22,92 +22,92 @@
 
 } // namespace
 
-LineWriter::LineWriter(int fd, std::size_t mostHeld)
+LineWriter::LineWriter(int fd, std::size_t maxBufferedBytes)
     : m_fd(fd)
-    , m_mostHeld(mostHeld)
+    , m_maxBufferedBytes(maxBufferedBytes)
 {
 }
 
 void LineWriter::add(std::string_view line)
 {
     const std::lock_guard lock(m_mutex);
-    if (m_held.size() + line.size() + 1 > m_mostHeld)
-        write();
-    if (m_held.size() + line.size() + 1 > m_mostHeld) {
+    if (m_buffer.size() + line.size() + 1 > m_maxBufferedBytes)
+        writeBuffer();
+    if (m_buffer.size() + line.size() + 1 > m_maxBufferedBytes) {
         ++m_dropped;
-        ++m_untold;
+        ++m_unreportedDrops;
         return;
     }
-    tellDropped();
-    m_held.append(line);
-    m_held.push_back('\n');
-    if (m_held.size() >= pieceBytes)
-        write();
+    appendDropNotice();
+    m_buffer.append(line);
+    m_buffer.push_back('\n');
+    if (m_buffer.size() >= maxWriteBytes)
+        writeBuffer();
 }
 
 void LineWriter::flush()
 {
     const std::lock_guard lock(m_mutex);
-    write();
-    tellDropped();
+    writeBuffer();
+    appendDropNotice();
 }
 
-/// Says how many lines are missing at this place.
-void LineWriter::tellDropped()
+/// Appends a line with the number of lines that were dropped at this position, if there is space for it.
+void LineWriter::appendDropNotice()
 {
-    const auto line = "event=lines_dropped count=" + std::to_string(m_untold) + "\n";
-    if (m_untold == 0 || m_held.size() + line.size() > m_mostHeld)
+    const auto line = "event=lines_dropped count=" + std::to_string(m_unreportedDrops) + "\n";
+    if (m_unreportedDrops == 0 || m_buffer.size() + line.size() > m_maxBufferedBytes)
         return;
-    m_held.append(line);
-    m_untold = 0;
+    m_buffer.append(line);
+    m_unreportedDrops = 0;
 }
 
-void LineWriter::write()
+void LineWriter::writeBuffer()
 {
-    std::size_t taken = 0;
-    while (taken < m_held.size() && writable(m_fd)) {
-        const auto n = ::write(m_fd, m_held.data() + taken, std::min(pieceBytes, m_held.size() - taken));
+    std::size_t written = 0;
+    while (written < m_buffer.size() && isWritable(m_fd)) {
+        const auto n = ::write(m_fd, m_buffer.data() + written, std::min(maxWriteBytes, m_buffer.size() - written));
         if (n > 0) {
-            taken += static_cast<std::size_t>(n);
+            written += static_cast<std::size_t>(n);
         } else if (errno != EINTR) {
-            // Nobody reads any more, and there is nowhere else to say so.
-            taken = m_held.size();
+            // For example, the reader has closed its end. There is no other channel to report the error on.
+            written = m_buffer.size();
         }
     }
-    m_held.erase(0, taken);
+    m_buffer.erase(0, written);
 }
 
-std::uint64_t LineWriter::dropped() const
+std::uint64_t LineWriter::droppedLines() const
 {
     const std::lock_guard lock(m_mutex);
     return m_dropped;
 }
 
-LineBudget::LineBudget(double perSecond, double burst)
+LogRateLimiter::LogRateLimiter(double perSecond, double burst)
     : m_perSecond(perSecond)
     , m_burst(burst)
 {
 }
 
-bool LineBudget::take(std::string_view event, TimePoint now)
+bool LogRateLimiter::tryAcquire(std::string_view event, TimePoint now)
 {
     auto it = m_events.find(event);
     if (it == m_events.end())
-        it = m_events.emplace(std::string(event), Event { { m_perSecond, m_burst, now }, 0 }).first;
+        it = m_events.emplace(std::string(event), EventState { { m_perSecond, m_burst, now }, 0 }).first;
     if (it->second.bucket.take(1, now))
         return true;
-    ++it->second.withheld;
+    ++it->second.suppressed;
     return false;
 }
 
-std::map<std::string, std::uint64_t> LineBudget::drainWithheld()
+std::map<std::string, std::uint64_t> LogRateLimiter::drainSuppressedCounts()
 {
-    std::map<std::string, std::uint64_t> withheld;
+    std::map<std::string, std::uint64_t> suppressed;
     for (auto& it : m_events) {
-        if (it.second.withheld > 0)
-            withheld.emplace(it.first, std::exchange(it.second.withheld, 0));
+        if (it.second.suppressed > 0)
+            suppressed.emplace(it.first, std::exchange(it.second.suppressed, 0));
     }
-    return withheld;
+    return suppressed;
 }
 
 } // namespace foxtailwheel::telemetry
--- a/src/foxtailwheel/telemetry/LineWriterTest.cpp
+++ b/src/foxtailwheel/telemetry/LineWriterTest.cpp
@@ -38,7 +38,7 @@
 
 } // namespace
 
-Test(LineWriter, linesComeWholeAndInOrder)
+Test(LineWriter, writesCompleteLinesInOrder)
 {
     const Pipe pipe;
     telemetry::LineWriter writer(pipe.ends[1], 1U << 16U);
@@ -51,36 +51,36 @@
     cr_assert_eq(pipe.read(), expected);
 }
 
-Test(LineWriter, aReaderThatStallsCostsLinesButNoTime)
+Test(LineWriter, dropsLinesInsteadOfBlockingOnAStalledReader)
 {
     const Pipe pipe;
     telemetry::LineWriter writer(pipe.ends[1], 1U << 16U);
     const std::string line(100, 'x');
-    const auto begin = std::chrono::steady_clock::now();
+    const auto start = std::chrono::steady_clock::now();
     for (int i = 0; i < 100000; ++i)
         writer.add(line);
-    cr_assert_lt(std::chrono::duration<double>(std::chrono::steady_clock::now() - begin).count(), 2);
-    cr_assert_gt(writer.dropped(), 90000);
+    cr_assert_lt(std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count(), 2);
+    cr_assert_gt(writer.droppedLines(), 90000);
     pipe.read();
     writer.flush();
     pipe.read();
     writer.add("event=after");
     writer.flush();
     const auto text = pipe.read();
-    cr_assert(text.find("event=lines_dropped count=" + std::to_string(writer.dropped())) != std::string::npos);
+    cr_assert(text.find("event=lines_dropped count=" + std::to_string(writer.droppedLines())) != std::string::npos);
     cr_assert(text.find("event=after") != std::string::npos);
 }
 
-Test(LineBudget, eachEventHasItsOwnBoundAndWhatIsWithheldIsCounted)
+Test(LogRateLimiter, limitsEachEventSeparatelyAndCountsSuppressedLines)
 {
-    telemetry::LineBudget budget(10, 20);
+    telemetry::LogRateLimiter limiter(10, 20);
     const TimePoint start(1h);
-    int taken = 0;
+    int admitted = 0;
     for (int i = 0; i < 100; ++i)
-        taken += budget.take("busy", start) ? 1 : 0;
-    cr_assert_eq(taken, 20);
-    cr_assert(budget.take("rare", start));
-    cr_assert_eq(budget.drainWithheld().at("busy"), 80);
-    cr_assert(budget.drainWithheld().empty());
-    cr_assert(budget.take("busy", start + 100ms));
+        admitted += limiter.tryAcquire("busy", start) ? 1 : 0;
+    cr_assert_eq(admitted, 20);
+    cr_assert(limiter.tryAcquire("rare", start));
+    cr_assert_eq(limiter.drainSuppressedCounts().at("busy"), 80);
+    cr_assert(limiter.drainSuppressedCounts().empty());
+    cr_assert(limiter.tryAcquire("busy", start + 100ms));
 }
--- a/src/foxtailwheel/telemetry/Log.cpp
+++ b/src/foxtailwheel/telemetry/Log.cpp
@@ -22,20 +22,20 @@
         return log4cplus::Logger::getRoot();
     }
 
-    /// Bytes held for a reader that stalls: about ten seconds of a busy instance.
-    constexpr std::size_t mostHeldBytes = 1U << 20U;
-    /// Lines of one event a second, and at once; a busy instance writes about a hundred a second in all.
+    /// Buffered while the reader of standard output stalls; about ten seconds of log lines of a busy instance.
+    constexpr std::size_t maxBufferedBytes = 1U << 20U;
+    /// Rate limit of each event; a busy instance writes about 100 lines per second of all events together.
     constexpr double linesPerSecond = 200;
     constexpr double lineBurst = 400;
-    constexpr Duration withheldPeriod = std::chrono::seconds(1);
+    constexpr Duration suppressedReportInterval = std::chrono::seconds(1);
 
     LineWriter& standardOutput()
     {
-        static LineWriter writer(STDOUT_FILENO, mostHeldBytes);
+        static LineWriter writer(STDOUT_FILENO, maxBufferedBytes);
         return writer;
     }
 
-    /// Hands lines to a writer that never blocks.
+    /// Appends log lines to the non-blocking writer of standard output.
     class LineAppender final : public log4cplus::Appender {
     public:
         ~LineAppender() override { destructorImpl(); }
@@ -53,41 +53,41 @@
         }
     };
 
-    /// The budgets of all events of this process.
-    class Budgets {
+    /// Thread-safe rate limiter of the log lines of this process; logs how many lines it suppressed.
+    class ProcessLogRateLimiter {
     public:
-        bool take(std::string_view event)
+        bool tryAcquire(std::string_view event)
         {
             const auto now = std::chrono::steady_clock::now();
-            std::map<std::string, std::uint64_t> withheld;
-            bool taken = false;
+            std::map<std::string, std::uint64_t> suppressed;
+            bool admitted = false;
             {
                 const std::lock_guard lock(m_mutex);
-                taken = m_budget.take(event, now);
-                if (now - m_toldAt >= withheldPeriod) {
-                    m_toldAt = now;
-                    withheld = m_budget.drainWithheld();
+                admitted = m_limiter.tryAcquire(event, now);
+                if (now - m_lastReportAt >= suppressedReportInterval) {
+                    m_lastReportAt = now;
+                    suppressed = m_limiter.drainSuppressedCounts();
                 }
             }
-            for (const auto& it : withheld)
+            for (const auto& it : suppressed)
                 LOG4CPLUS_WARN(
                     rootLogger(), "event=lines_withheld of=" + it.first + " count=" + std::to_string(it.second));
-            return taken;
+            return admitted;
         }
 
     private:
         std::mutex m_mutex;
-        LineBudget m_budget { linesPerSecond, lineBurst };
-        TimePoint m_toldAt {};
+        LogRateLimiter m_limiter { linesPerSecond, lineBurst };
+        TimePoint m_lastReportAt {};
     };
 
-    bool mayWrite(std::string_view event)
+    bool passesRateLimit(std::string_view event)
     {
-        static Budgets budgets;
-        return budgets.take(event);
+        static ProcessLogRateLimiter limiter;
+        return limiter.tryAcquire(event);
     }
 
-    std::string quoted(const std::string& value)
+    std::string quoteIfNeeded(const std::string& value)
     {
         if (!value.empty() && value.find_first_of(" \"=\n\r\t") == std::string::npos)
             return value;
@@ -106,7 +106,7 @@
 {
     std::string line = "event=" + std::string(event);
     for (const auto& it : fields)
-        line += " " + std::string(it.name) + "=" + quoted(it.value);
+        line += " " + std::string(it.name) + "=" + quoteIfNeeded(it.value);
     return line;
 }
 
@@ -135,31 +135,31 @@
 
 void logError(std::string_view event, Fields fields)
 {
-    if (rootLogger().isEnabledFor(log4cplus::ERROR_LOG_LEVEL) && mayWrite(event))
+    if (rootLogger().isEnabledFor(log4cplus::ERROR_LOG_LEVEL) && passesRateLimit(event))
         LOG4CPLUS_ERROR(rootLogger(), formatLine(event, { fields.begin(), fields.size() }));
 }
 
 void logWarning(std::string_view event, Fields fields)
 {
-    if (rootLogger().isEnabledFor(log4cplus::WARN_LOG_LEVEL) && mayWrite(event))
+    if (rootLogger().isEnabledFor(log4cplus::WARN_LOG_LEVEL) && passesRateLimit(event))
         LOG4CPLUS_WARN(rootLogger(), formatLine(event, { fields.begin(), fields.size() }));
 }
 
 void logInfo(std::string_view event, Fields fields)
 {
-    if (rootLogger().isEnabledFor(log4cplus::INFO_LOG_LEVEL) && mayWrite(event))
+    if (rootLogger().isEnabledFor(log4cplus::INFO_LOG_LEVEL) && passesRateLimit(event))
         LOG4CPLUS_INFO(rootLogger(), formatLine(event, { fields.begin(), fields.size() }));
 }
 
 void logInfoFields(std::string_view event, std::span<const Field> fields)
 {
-    if (rootLogger().isEnabledFor(log4cplus::INFO_LOG_LEVEL) && mayWrite(event))
+    if (rootLogger().isEnabledFor(log4cplus::INFO_LOG_LEVEL) && passesRateLimit(event))
         LOG4CPLUS_INFO(rootLogger(), formatLine(event, fields));
 }
 
 void logDebug(std::string_view event, Fields fields)
 {
-    if (rootLogger().isEnabledFor(log4cplus::DEBUG_LOG_LEVEL) && mayWrite(event))
+    if (rootLogger().isEnabledFor(log4cplus::DEBUG_LOG_LEVEL) && passesRateLimit(event))
         LOG4CPLUS_DEBUG(rootLogger(), formatLine(event, { fields.begin(), fields.size() }));
 }
 
--- a/src/foxtailwheel/telemetry/Metrics.cpp
+++ b/src/foxtailwheel/telemetry/Metrics.cpp
@@ -22,39 +22,40 @@
     constexpr std::array<double, 3> quantiles { 0.5, 0.95, 0.99 };
     constexpr std::size_t shardCount = 8;
 
-    using Times = acc::accumulator_set<double, acc::stats<acc::tag::count, acc::tag::sum, acc::tag::extended_p_square>>;
+    using DurationSummary
+        = acc::accumulator_set<double, acc::stats<acc::tag::count, acc::tag::sum, acc::tag::extended_p_square>>;
 
-    Times newTimes()
+    DurationSummary makeDurationSummary()
     {
-        return Times(acc::tag::extended_p_square::probabilities = quantiles);
+        return DurationSummary(acc::tag::extended_p_square::probabilities = quantiles);
     }
 
-    /// Name and labels, as the key of one series.
-    struct Series {
+    /// Name and labels that identify a time series.
+    struct SeriesKey {
         std::string name;
         std::vector<std::pair<std::string, std::string>> labels;
 
-        friend auto operator<=>(const Series&, const Series&) = default;
+        friend auto operator<=>(const SeriesKey&, const SeriesKey&) = default;
     };
 
-    Series seriesOf(const std::string& name, const Labels& labels)
+    SeriesKey makeSeriesKey(const std::string& name, const Labels& labels)
     {
-        Series series { name, {} };
+        SeriesKey key { name, {} };
         for (const auto& it : labels)
-            series.labels.emplace_back(it.name, it.value);
-        return series;
+            key.labels.emplace_back(it.name, it.value);
+        return key;
     }
 
     struct Shard {
         mutable std::mutex mutex;
-        std::map<Series, double> counters;
-        std::map<Series, double> gauges;
-        std::map<Series, Times> times;
+        std::map<SeriesKey, double> counters;
+        std::map<SeriesKey, double> gauges;
+        std::map<SeriesKey, DurationSummary> durations;
     };
 
     using Families = std::map<std::string, prometheus::MetricFamily>;
 
-    prometheus::ClientMetric& addMetric(Families& families, const Series& series, prometheus::MetricType type)
+    prometheus::ClientMetric& addMetric(Families& families, const SeriesKey& series, prometheus::MetricType type)
     {
         auto& family = families[series.name];
         family.name = series.name;
@@ -69,29 +70,29 @@
     public:
         void count(const std::string& name, const Labels& labels, double n) override
         {
-            auto& shard = shardOf(name);
+            auto& shard = shardFor(name);
             const std::lock_guard lock(shard.mutex);
-            shard.counters[seriesOf(name, labels)] += n;
+            shard.counters[makeSeriesKey(name, labels)] += n;
         }
 
         void gauge(const std::string& name, const Labels& labels, double value) override
         {
-            auto& shard = shardOf(name);
+            auto& shard = shardFor(name);
             const std::lock_guard lock(shard.mutex);
-            shard.gauges[seriesOf(name, labels)] = value;
+            shard.gauges[makeSeriesKey(name, labels)] = value;
         }
 
         void time(const std::string& name, const Labels& labels, Duration d) override
         {
-            auto& shard = shardOf(name);
+            auto& shard = shardFor(name);
             const std::lock_guard lock(shard.mutex);
-            shard.times.try_emplace(seriesOf(name, labels), newTimes()).first->second(toSeconds(d));
+            shard.durations.try_emplace(makeSeriesKey(name, labels), makeDurationSummary()).first->second(toSeconds(d));
         }
 
         std::string text() const override;
 
     private:
-        Shard& shardOf(const std::string& name) { return m_shards.at(hashOf(name) % shardCount); }
+        Shard& shardFor(const std::string& name) { return m_shards.at(hashOf(name) % shardCount); }
         static void collect(const Shard& shard, Families& families);
 
         std::array<Shard, shardCount> m_shards;
@@ -104,7 +105,7 @@
             addMetric(families, it.first, prometheus::MetricType::Counter).counter.value = it.second;
         for (const auto& it : shard.gauges)
             addMetric(families, it.first, prometheus::MetricType::Gauge).gauge.value = it.second;
-        for (const auto& it : shard.times) {
+        for (const auto& it : shard.durations) {
             auto& summary = addMetric(families, it.first, prometheus::MetricType::Summary).summary;
             summary.sample_count = acc::count(it.second);
             summary.sample_sum = acc::sum(it.second);
