--- a/include/foxtailwheel/http/Client.h
+++ b/include/foxtailwheel/http/Client.h
@@ -10,55 +10,55 @@
 
 namespace foxtailwheel::http {
 
-/// @brief How a call ended.
+/// @brief Outcome of a call at the transport level, apart from the status code of its response.
 enum class CallEnd {
-    Complete, ///< The whole response came.
-    NotSent, ///< No byte of the request was handed to a socket.
-    Broken, ///< The connection ended early.
+    Complete, ///< The whole response was received.
+    NotSent, ///< No byte of the request was written to a socket.
+    Broken, ///< The connection failed or was closed before the response was complete.
     TimedOut, ///< The deadline passed.
-    Cancelled, ///< `cancel` was called after the first byte.
+    Cancelled, ///< `cancel` was called after sending had started.
 };
 
-/// @brief Outcome of a call.
+/// @brief Result of a call.
 struct CallResult {
     CallEnd end = CallEnd::NotSent;
-    Response response; ///< The body is empty where it was handed on in chunks.
-    std::string detail; ///< For logs.
+    Response response; ///< The body is empty if it was delivered through `onData`.
+    std::string detail; ///< Error description for logs.
 };
 
-/// @brief A call to make.
+/// @brief Parameters of a call.
 struct CallRequest {
     config::Endpoint server;
     Request request;
-    TimePoint sendBy; ///< The first byte is not handed to a socket after this.
-    TimePoint deadline; ///< The whole response must be there by then.
-    bool idempotent = true; ///< A call that is not goes out on a new connection and is never sent twice.
-    bool newConnection = false; ///< Takes no idle connection, and leaves none behind.
-    bool probes = false; ///< Sends keep-alive probes, for calls that are answered late.
+    TimePoint sendBy; ///< Time after which sending is no longer started.
+    TimePoint deadline; ///< Time by which the whole response must have been received.
+    bool idempotent = true; ///< A non-idempotent call uses a new connection and is never retried.
+    bool newConnection = false; ///< Neither reuses an idle connection nor returns its own to the pool.
+    bool probes = false; ///< Enables TCP keep-alive probes, for calls whose response is slow to arrive.
 };
 
-/// @brief What the caller is told on the way; all run one after another.
+/// @brief Callbacks of a call; they never run concurrently.
 struct CallEvents {
-    std::function<void()> onFirstByte; ///< Just before the first byte is handed to a socket; may be empty.
-    std::function<void(const Response&)> onHead; ///< May be empty.
-    std::function<void(std::string_view)> onData; ///< Chunks of a 200 body; where empty the body is collected.
-    std::function<void(CallResult)> onDone; ///< Exactly once, last.
+    std::function<void()> onFirstByte; ///< Called just before the first byte is written to a socket; may be empty.
+    std::function<void(const Response&)> onHead; ///< Called with the status and headers of the response; may be empty.
+    std::function<void(std::string_view)> onData; ///< Chunks of a 200 body; if empty, `CallResult` has the body.
+    std::function<void(CallResult)> onDone; ///< Called exactly once, as the last callback.
 };
 
 /// @brief A call in progress.
 class Call {
 public:
     virtual ~Call() = default;
-    /// @brief Ends the call; `onDone` still follows, and says `NotSent` only where that is certain.
+    /// @brief Cancels the call; `onDone` is still called, with `NotSent` only if certainly no byte was sent.
     virtual void cancel() = 0;
 };
 
-/// @brief HTTP/1.1 client with a pool of connections.
+/// @brief HTTP/1.1 client with a connection pool.
 class Client {
 public:
     static std::unique_ptr<Client> create(IoPool& pool, const Clock& clock);
     virtual ~Client() = default;
-    /// @brief Starts a call.
+    /// @brief Starts a call; no callback runs inside this function.
     virtual std::shared_ptr<Call> start(CallRequest request, CallEvents events) = 0;
 };
 
--- a/include/foxtailwheel/http/IoPool.h
+++ b/include/foxtailwheel/http/IoPool.h
@@ -12,28 +12,28 @@
 
 namespace foxtailwheel::http {
 
-/// @brief Threads that carry out input and output.
+/// @brief Pool of threads that run one Asio I/O context.
 class IoPool {
 public:
-    /// @brief Starts `threads` threads.
+    /// @brief Creates the pool and starts `threads` threads.
     static std::unique_ptr<IoPool> create(std::size_t threads);
     ~IoPool();
     IoPool(const IoPool&) = delete;
     IoPool& operator=(const IoPool&) = delete;
 
-    /// @brief Runs `work` on some thread of the pool.
+    /// @brief Runs `work` on a thread of the pool.
     void post(std::function<void()> work);
-    /// @brief Runs `work` on some thread of the pool after `delay`.
+    /// @brief Runs `work` on a thread of the pool after `delay`.
     void after(Duration delay, std::function<void()> work);
-    /// @brief Runs `work` once the process gets SIGTERM or SIGINT, each time with the count of signals so far.
+    /// @brief Runs `work` on each SIGTERM or SIGINT, with the number of these signals received so far.
     void onTerminate(std::function<void(int)> work);
-    /// @brief Runs `work` each time the process gets SIGHUP.
+    /// @brief Runs `work` on each SIGHUP.
     void onReload(std::function<void()> work);
-    /// @brief Stops all work and joins the threads; called by the destructor too.
+    /// @brief Stops the context without running pending work and joins the threads; also called by the destructor.
     void stop();
-    /// @brief The context that the threads run.
+    /// @brief Returns the context that the threads run.
     boost::asio::io_context& context();
-    /// @brief The same, kept alive by its holder: what uses it may be destroyed after the pool.
+    /// @brief Returns shared ownership of the context, for objects that use it and may be destroyed after the pool.
     std::shared_ptr<boost::asio::io_context> sharedContext();
 
 private:
--- a/include/foxtailwheel/http/Message.h
+++ b/include/foxtailwheel/http/Message.h
@@ -6,39 +6,39 @@
 
 namespace foxtailwheel::http {
 
-/// @brief One header field.
+/// @brief A header field.
 struct Header {
     std::string name;
     std::string value;
 };
 
-/// @brief Header fields in their order.
+/// @brief Header fields, in order.
 using Headers = std::vector<Header>;
 
-/// @brief The value of the first field called `name`, case aside; empty where there is none.
+/// @brief Returns the value of the first field with this name, compared case-insensitively; empty if there is none.
 std::string_view findHeader(const Headers& headers, std::string_view name);
 
-/// @brief A request.
+/// @brief An HTTP request.
 struct Request {
     std::string method;
     std::string target; ///< Path and query.
     Headers headers;
     std::string body;
 
-    /// @brief The target without its query.
+    /// @brief Returns the target without its query.
     std::string_view path() const;
-    /// @brief A value of the query, percent-decoded; empty where it is missing.
+    /// @brief Returns a percent-decoded query parameter; empty if it is missing.
     std::string query(std::string_view name) const;
 };
 
-/// @brief A response, or the head of one.
+/// @brief An HTTP response, or its status and headers only.
 struct Response {
     unsigned status = 200;
     Headers headers;
     std::string body;
 };
 
-/// @brief Percent-encodes `text` for a query.
+/// @brief Percent-encodes `text` for use in a path segment or query.
 std::string percentEncode(std::string_view text);
 
 } // namespace foxtailwheel::http
--- a/include/foxtailwheel/http/Server.h
+++ b/include/foxtailwheel/http/Server.h
@@ -12,26 +12,27 @@
 
 namespace foxtailwheel::http {
 
-/// @brief The answering side of one request; thread-safe, and may be kept until the answer is there, but no longer than
-/// the `IoPool` lives.
+/// @brief Sends the response to one request. Thread-safe; may be kept to respond later, but must be destroyed before
+/// the `IoPool`.
 class Responder {
 public:
     virtual ~Responder() = default;
-    /// @brief Sends a whole response.
+    /// @brief Sends a complete response.
     virtual void respond(Response response) = 0;
-    /// @brief Sends the head of a chunked response.
+    /// @brief Sends the status and headers of a chunked response.
     virtual void beginStream(Response head) = 0;
-    /// @brief Adds a chunk; false where the peer is gone or holds more than the buffer limit unread.
+    /// @brief Queues a chunk; returns false if the peer has disconnected, the response has ended, or more than
+    /// `maxQueuedBytes` are queued. In the last case the connection is aborted.
     virtual bool write(std::string chunk) = 0;
     /// @brief Ends a chunked response.
     virtual void endStream() = 0;
-    /// @brief Breaks the connection without ending the response.
+    /// @brief Closes the connection without completing the response.
     virtual void abort() = 0;
-    /// @brief Calls `work` once if the peer closes before the response has ended.
+    /// @brief Calls `work` once if the peer disconnects before the response is complete.
     virtual void onGone(std::function<void()> work) = 0;
 };
 
-/// @brief Limits that may change while a server runs.
+/// @brief Limits that can be changed while a server is running.
 struct ServerLimits {
     std::uint64_t maxBodyBytes = 1U << 20U;
     std::uint32_t maxHeaderBytes = 16U << 10U;
@@ -42,39 +43,41 @@
 
 /// @brief Address and limits of a server.
 struct ServerOptions : ServerLimits {
-    config::Endpoint listen; ///< Port 0 takes a free one.
+    config::Endpoint listen; ///< Port 0 selects a free port.
     std::uint32_t maxConnections = 4096;
-    std::size_t maxUnreadBytes = 256U << 10U; ///< Of one stream, before its caller counts as gone.
+    std::size_t maxUnreadBytes = 256U << 10U; ///< Per response; above it the connection is aborted.
     Duration writeTimeout = std::chrono::seconds(10);
 };
 
-/// @brief Takes a request; answers now or later through the responder.
+/// @brief Handles a request; responds immediately or later through the responder.
 using Handler = std::function<void(Request, std::shared_ptr<Responder>)>;
 
 /// @brief HTTP/1.1 server.
 class Server {
 public:
-    /// @brief Listens and serves on the pool's threads.
+    /// @brief Starts a server that runs on the threads of the pool.
+    /// @return `Errc::Unreachable` if the address cannot be listened on.
     static Result<std::unique_ptr<Server>> listen(IoPool& pool, ServerOptions options, Handler handler);
     ~Server();
     Server(const Server&) = delete;
     Server& operator=(const Server&) = delete;
 
     std::uint16_t port() const;
-    /// @brief Stops listening; requests in progress go on, and their connections close after them.
+    /// @brief Stops listening. Requests in progress are completed, and their connections are closed afterwards.
     void stopAccepting();
-    /// @brief From now on every answer tells its caller to close the connection; new connections are still taken.
+    /// @brief Sends `Connection: close` with every response from now on; new connections are still accepted.
     void closeAfterAnswers();
-    /// @brief Takes new limits of time and size for requests to come; the address and the bodies' buffers stay.
+    /// @brief Applies new limits to subsequent requests; the other `ServerOptions` do not change.
     void setLimits(const ServerLimits& limits);
-    /// @brief Requests that are not yet answered in full.
+    /// @brief Number of requests whose response is not complete.
     std::size_t inProgress() const;
+    /// @brief Number of open connections.
     std::size_t connections() const;
 
 private:
     struct Impl;
     Server(std::shared_ptr<boost::asio::io_context> context, std::shared_ptr<Impl> impl);
-    std::shared_ptr<boost::asio::io_context> m_context; ///< Outlives `m_impl`, also where the pool does not.
+    std::shared_ptr<boost::asio::io_context> m_context; ///< Must outlive `m_impl`, even if the pool is destroyed first.
     std::shared_ptr<Impl> m_impl;
 };
 
--- a/src/foxtailwheel/http/Client.cpp
+++ b/src/foxtailwheel/http/Client.cpp
@@ -29,42 +29,42 @@
 
     using namespace std::chrono_literals;
 
-    constexpr auto token = net::as_tuple(net::use_awaitable);
-    constexpr std::uint64_t largestAnswerBytes = 64U << 20U;
-    constexpr std::size_t chunkBytes = 16U << 10U;
-    constexpr std::size_t mostIdlePerServer = 64;
-    constexpr Duration longestIdle = 10s;
-    constexpr Duration connectLimit = 500ms;
-    /// Requests up to this size fit the socket's buffer and are written before the answer is awaited.
-    constexpr std::size_t smallRequestBytes = 8U << 10U;
-    /// A peer that went silent is found after about three seconds.
-    constexpr int probeIdleSeconds = 1;
-    constexpr int probeIntervalSeconds = 1;
-    constexpr int probeCount = 2;
+    constexpr auto completionToken = net::as_tuple(net::use_awaitable);
+    constexpr std::uint64_t maxResponseBytes = 64U << 20U;
+    constexpr std::size_t readChunkBytes = 16U << 10U;
+    constexpr std::size_t maxIdleConnectionsPerServer = 64;
+    constexpr Duration maxIdleTime = 10s;
+    constexpr Duration connectTimeout = 500ms;
+    /// Requests up to this size fit into the socket's send buffer and are written before the response is read.
+    constexpr std::size_t maxSequentialWriteBytes = 8U << 10U;
+    /// Keep-alive probes detect an unresponsive peer after about three seconds.
+    constexpr int keepAliveIdleSeconds = 1;
+    constexpr int keepAliveIntervalSeconds = 1;
+    constexpr int keepAliveProbeCount = 2;
 
     using Stream = beast::tcp_stream;
 
-    /// Connections that wait for their next call.
-    class IdlePool {
+    /// Idle connections by server, for reuse by later calls.
+    class IdleConnectionPool {
     public:
-        std::unique_ptr<Stream> take(const config::Endpoint& server, TimePoint now);
-        void give(const config::Endpoint& server, std::unique_ptr<Stream> stream, TimePoint now);
-        /// Drops all idle connections to a server: one of them went silent.
-        void drop(const config::Endpoint& server);
+        std::unique_ptr<Stream> acquire(const config::Endpoint& server, TimePoint now);
+        void release(const config::Endpoint& server, std::unique_ptr<Stream> stream, TimePoint now);
+        /// Closes all idle connections to a server, to be called when one of them was stale or its server unresponsive.
+        void closeAll(const config::Endpoint& server);
 
     private:
-        struct Idle {
+        struct IdleConnection {
             std::unique_ptr<Stream> stream;
-            TimePoint since;
+            TimePoint idleSince;
         };
 
-        static bool stillOpen(Stream& stream);
+        static bool isOpen(Stream& stream);
 
         std::mutex m_mutex;
-        std::map<config::Endpoint, std::vector<Idle>> m_idle;
+        std::map<config::Endpoint, std::vector<IdleConnection>> m_idleConnections;
     };
 
-    bool IdlePool::stillOpen(Stream& stream)
+    bool IdleConnectionPool::isOpen(Stream& stream)
     {
         char byte = 0;
         boost::system::error_code ec;
@@ -73,41 +73,42 @@
         return ec == net::error::would_block;
     }
 
-    std::unique_ptr<Stream> IdlePool::take(const config::Endpoint& server, TimePoint now)
+    std::unique_ptr<Stream> IdleConnectionPool::acquire(const config::Endpoint& server, TimePoint now)
     {
         const std::lock_guard lock(m_mutex);
-        auto& idle = m_idle[server];
+        auto& idle = m_idleConnections[server];
         while (!idle.empty()) {
             auto last = std::move(idle.back());
             idle.pop_back();
-            if (now - last.since < longestIdle && stillOpen(*last.stream))
+            if (now - last.idleSince < maxIdleTime && isOpen(*last.stream))
                 return std::move(last.stream);
         }
         return nullptr;
     }
 
-    void IdlePool::give(const config::Endpoint& server, std::unique_ptr<Stream> stream, TimePoint now)
+    void IdleConnectionPool::release(const config::Endpoint& server, std::unique_ptr<Stream> stream, TimePoint now)
     {
         const std::lock_guard lock(m_mutex);
-        auto& idle = m_idle[server];
-        if (idle.size() < mostIdlePerServer)
+        auto& idle = m_idleConnections[server];
+        if (idle.size() < maxIdleConnectionsPerServer)
             idle.push_back({ std::move(stream), now });
     }
 
-    void IdlePool::drop(const config::Endpoint& server)
+    void IdleConnectionPool::closeAll(const config::Endpoint& server)
     {
         const std::lock_guard lock(m_mutex);
-        m_idle.erase(server);
+        m_idleConnections.erase(server);
     }
 
-    /// One call, run by a coroutine on a strand of its own.
+    /// A call, run by a coroutine on its own strand.
     class PooledCall final : public Call, public std::enable_shared_from_this<PooledCall> {
     public:
-        /// @param strand Runs the call; the one of `stream` where a connection is reused.
-        PooledCall(net::any_io_executor strand, std::unique_ptr<Stream> stream, std::shared_ptr<IdlePool> pool,
-            const Clock& clock, CallRequest request, CallEvents events)
+        /// @param strand Executor of the call; the executor of `stream` if a connection is reused.
+        /// @param stream Connection to reuse, or null to open a new one.
+        PooledCall(net::any_io_executor strand, std::unique_ptr<Stream> stream,
+            std::shared_ptr<IdleConnectionPool> pool, const Clock& clock, CallRequest request, CallEvents events)
             : m_strand(std::move(strand))
-            , m_pool(std::move(pool))
+            , m_idlePool(std::move(pool))
             , m_clock(clock)
             , m_request(std::move(request))
             , m_events(std::move(events))
@@ -124,17 +125,17 @@
         net::awaitable<bool> connect();
         net::awaitable<CallResult> attempt();
         net::awaitable<bool> write();
-        net::awaitable<void> writeAside();
+        net::awaitable<void> writeConcurrently();
         net::awaitable<CallResult> read();
-        void setProbes();
+        void enableKeepAlive();
         net::awaitable<boost::system::error_code> readBody(
             bhttp::response_parser<bhttp::buffer_body>& parser, std::string& body);
-        CallResult ended(CallEnd end, std::string detail) const { return { end, {}, std::move(detail) }; }
-        CallResult failed(const boost::system::error_code& ec) const;
-        void setExpiry(TimePoint at);
+        CallResult makeResult(CallEnd end, std::string detail) const { return { end, {}, std::move(detail) }; }
+        CallResult errorResult(const boost::system::error_code& ec) const;
+        void setStreamDeadline(TimePoint at);
 
         net::any_io_executor m_strand;
-        std::shared_ptr<IdlePool> m_pool;
+        std::shared_ptr<IdleConnectionPool> m_idlePool;
         const Clock& m_clock;
         CallRequest m_request;
         CallEvents m_events;
@@ -142,10 +143,10 @@
         beast::flat_buffer m_buffer;
         std::atomic<bool> m_cancelled { false };
         bhttp::request<bhttp::string_body> m_message;
-        bool m_writing = false;
-        bool m_sent = false;
+        bool m_writeIncomplete = false;
+        bool m_sendStarted = false;
         bool m_reused = false;
-        bool m_gotBytes = false;
+        bool m_responseStarted = false;
     };
 
     void PooledCall::cancel()
@@ -157,18 +158,18 @@
         });
     }
 
-    void PooledCall::setExpiry(TimePoint at)
+    void PooledCall::setStreamDeadline(TimePoint at)
     {
         m_stream->expires_after(std::max<Duration>(at - m_clock.now(), Duration {}));
     }
 
-    CallResult PooledCall::failed(const boost::system::error_code& ec) const
+    CallResult PooledCall::errorResult(const boost::system::error_code& ec) const
     {
         if (m_cancelled)
-            return ended(CallEnd::Cancelled, "cancelled");
+            return makeResult(CallEnd::Cancelled, "cancelled");
         if (ec == beast::error::timeout)
-            return ended(CallEnd::TimedOut, "timed out");
-        return ended(CallEnd::Broken, ec.message());
+            return makeResult(CallEnd::TimedOut, "timed out");
+        return makeResult(CallEnd::Broken, ec.message());
     }
 
     net::awaitable<bool> PooledCall::connect()
@@ -178,24 +179,25 @@
         if (ec)
             co_return false;
         m_stream = std::make_unique<Stream>(m_strand);
-        setExpiry(std::min(m_request.sendBy, m_clock.now() + connectLimit));
-        auto [connectError] = co_await m_stream->async_connect(tcp::endpoint(address, m_request.server.port), token);
+        setStreamDeadline(std::min(m_request.sendBy, m_clock.now() + connectTimeout));
+        auto [connectError]
+            = co_await m_stream->async_connect(tcp::endpoint(address, m_request.server.port), completionToken);
         if (connectError)
             co_return false;
         m_stream->socket().set_option(tcp::no_delay(true), ec);
         if (m_request.probes)
-            setProbes();
+            enableKeepAlive();
         co_return true;
     }
 
-    void PooledCall::setProbes()
+    void PooledCall::enableKeepAlive()
     {
         boost::system::error_code ignored;
         m_stream->socket().set_option(net::socket_base::keep_alive(true), ignored);
         const auto handle = m_stream->socket().native_handle();
-        setsockopt(handle, IPPROTO_TCP, TCP_KEEPIDLE, &probeIdleSeconds, sizeof probeIdleSeconds);
-        setsockopt(handle, IPPROTO_TCP, TCP_KEEPINTVL, &probeIntervalSeconds, sizeof probeIntervalSeconds);
-        setsockopt(handle, IPPROTO_TCP, TCP_KEEPCNT, &probeCount, sizeof probeCount);
+        setsockopt(handle, IPPROTO_TCP, TCP_KEEPIDLE, &keepAliveIdleSeconds, sizeof keepAliveIdleSeconds);
+        setsockopt(handle, IPPROTO_TCP, TCP_KEEPINTVL, &keepAliveIntervalSeconds, sizeof keepAliveIntervalSeconds);
+        setsockopt(handle, IPPROTO_TCP, TCP_KEEPCNT, &keepAliveProbeCount, sizeof keepAliveProbeCount);
     }
 
     net::awaitable<bool> PooledCall::write()
@@ -212,43 +214,43 @@
         m_message.keep_alive(true);
         m_message.body() = request.body;
         m_message.prepare_payload();
-        if (!m_sent && m_events.onFirstByte)
+        if (!m_sendStarted && m_events.onFirstByte)
             m_events.onFirstByte();
-        m_sent = true;
-        setExpiry(m_request.deadline);
-        if (request.body.size() > smallRequestBytes) {
-            m_writing = true;
+        m_sendStarted = true;
+        setStreamDeadline(m_request.deadline);
+        if (request.body.size() > maxSequentialWriteBytes) {
+            m_writeIncomplete = true;
             net::co_spawn(
-                m_strand, [self = shared_from_this()]() -> net::awaitable<void> { co_await self->writeAside(); },
+                m_strand, [self = shared_from_this()]() -> net::awaitable<void> { co_await self->writeConcurrently(); },
                 net::detached);
             co_return true;
         }
-        auto [ec, n] = co_await bhttp::async_write(*m_stream, m_message, token);
+        auto [ec, n] = co_await bhttp::async_write(*m_stream, m_message, completionToken);
         co_return !ec;
     }
 
-    /// Writes while the answer is awaited: a server may answer before it has read the whole request.
-    net::awaitable<void> PooledCall::writeAside()
+    /// Writes the request while the response is read: a server may respond before it has read the whole request.
+    net::awaitable<void> PooledCall::writeConcurrently()
     {
         auto* stream = m_stream.get();
-        auto [ec, n] = co_await bhttp::async_write(*stream, m_message, token);
-        m_writing = static_cast<bool>(ec);
+        auto [ec, n] = co_await bhttp::async_write(*stream, m_message, completionToken);
+        m_writeIncomplete = static_cast<bool>(ec);
     }
 
     net::awaitable<boost::system::error_code> PooledCall::readBody(
         bhttp::response_parser<bhttp::buffer_body>& parser, std::string& body)
     {
-        std::string chunk(chunkBytes, '\0');
-        const bool handsOn = m_events.onData && parser.get().result_int() == 200;
+        std::string chunk(readChunkBytes, '\0');
+        const bool streaming = m_events.onData && parser.get().result_int() == 200;
         while (!parser.is_done()) {
             parser.get().body().data = chunk.data();
             parser.get().body().size = chunk.size();
-            auto [ec, n] = co_await bhttp::async_read_some(*m_stream, m_buffer, parser, token);
-            const std::string_view got(chunk.data(), chunk.size() - parser.get().body().size);
-            if (handsOn && !got.empty())
-                m_events.onData(got);
+            auto [ec, n] = co_await bhttp::async_read_some(*m_stream, m_buffer, parser, completionToken);
+            const std::string_view received(chunk.data(), chunk.size() - parser.get().body().size);
+            if (streaming && !received.empty())
+                m_events.onData(received);
             else
-                body.append(got);
+                body.append(received);
             if (ec && ec != bhttp::error::need_buffer)
                 co_return ec;
         }
@@ -258,11 +260,11 @@
     net::awaitable<CallResult> PooledCall::read()
     {
         bhttp::response_parser<bhttp::buffer_body> parser;
-        parser.body_limit(largestAnswerBytes);
-        auto [ec, n] = co_await bhttp::async_read_header(*m_stream, m_buffer, parser, token);
-        m_gotBytes = n > 0;
+        parser.body_limit(maxResponseBytes);
+        auto [ec, n] = co_await bhttp::async_read_header(*m_stream, m_buffer, parser, completionToken);
+        m_responseStarted = n > 0;
         if (ec)
-            co_return failed(ec);
+            co_return errorResult(ec);
         CallResult result { CallEnd::Complete, {}, {} };
         result.response.status = parser.get().result_int();
         for (const auto& it : parser.get())
@@ -271,10 +273,11 @@
             m_events.onHead(result.response);
         const auto bodyError = co_await readBody(parser, result.response.body);
         if (bodyError)
-            co_return failed(bodyError);
-        if (parser.keep_alive() && m_buffer.size() == 0 && !m_cancelled && !m_writing && !m_request.newConnection) {
+            co_return errorResult(bodyError);
+        if (parser.keep_alive() && m_buffer.size() == 0 && !m_cancelled && !m_writeIncomplete
+            && !m_request.newConnection) {
             m_stream->expires_never();
-            m_pool->give(m_request.server, std::move(m_stream), m_clock.now());
+            m_idlePool->release(m_request.server, std::move(m_stream), m_clock.now());
         }
         co_return result;
     }
@@ -285,13 +288,13 @@
         if (!m_stream) {
             const bool connected = co_await connect();
             if (!connected)
-                co_return ended(m_sent ? CallEnd::Broken : CallEnd::NotSent, "cannot connect");
+                co_return makeResult(m_sendStarted ? CallEnd::Broken : CallEnd::NotSent, "cannot connect");
         }
-        if (!m_sent && (m_cancelled || m_clock.now() > m_request.sendBy))
-            co_return ended(CallEnd::NotSent, "too late to send");
+        if (!m_sendStarted && (m_cancelled || m_clock.now() > m_request.sendBy))
+            co_return makeResult(CallEnd::NotSent, "cancelled or past the send deadline");
         const bool written = co_await write();
         if (!written)
-            co_return ended(m_cancelled ? CallEnd::Cancelled : CallEnd::Broken, "cannot write");
+            co_return makeResult(m_cancelled ? CallEnd::Cancelled : CallEnd::Broken, "cannot write");
         auto result = co_await read();
         co_return result;
     }
@@ -299,15 +302,15 @@
     net::awaitable<void> PooledCall::run()
     {
         auto result = co_await attempt();
-        const bool stale = m_reused && !m_gotBytes && result.end == CallEnd::Broken && !m_writing;
+        const bool stale = m_reused && !m_responseStarted && result.end == CallEnd::Broken && !m_writeIncomplete;
         if (stale) {
             m_stream.reset();
             result = co_await attempt();
         }
-        const bool silent
-            = !m_gotBytes && m_sent && (result.end == CallEnd::TimedOut || result.end == CallEnd::Cancelled);
-        if (stale || silent)
-            m_pool->drop(m_request.server);
+        const bool unresponsive = !m_responseStarted && m_sendStarted
+            && (result.end == CallEnd::TimedOut || result.end == CallEnd::Cancelled);
+        if (stale || unresponsive)
+            m_idlePool->closeAll(m_request.server);
         if (m_stream)
             m_stream->close();
         const auto events = std::move(m_events);
@@ -324,13 +327,13 @@
 
         std::shared_ptr<Call> start(CallRequest request, CallEvents events) override
         {
-            const bool reuses = request.idempotent && !request.newConnection;
-            auto stream = reuses ? m_idle->take(request.server, m_clock.now()) : nullptr;
+            const bool canReuse = request.idempotent && !request.newConnection;
+            auto stream = canReuse ? m_idlePool->acquire(request.server, m_clock.now()) : nullptr;
             net::any_io_executor strand
                 = stream ? stream->get_executor() : net::any_io_executor(net::make_strand(m_context));
             auto call = std::make_shared<PooledCall>(
-                std::move(strand), std::move(stream), m_idle, m_clock, std::move(request), std::move(events));
-            // Posted, so that no event runs inside `start`.
+                std::move(strand), std::move(stream), m_idlePool, m_clock, std::move(request), std::move(events));
+            // Posted so that no callback runs inside `start`.
             net::post(call->executor(), [call] {
                 net::co_spawn(
                     call->executor(), [call]() -> net::awaitable<void> { co_await call->run(); }, net::detached);
@@ -341,7 +344,7 @@
     private:
         net::io_context& m_context;
         const Clock& m_clock;
-        std::shared_ptr<IdlePool> m_idle = std::make_shared<IdlePool>();
+        std::shared_ptr<IdleConnectionPool> m_idlePool = std::make_shared<IdleConnectionPool>();
     };
 
 } // namespace
--- a/src/foxtailwheel/http/HttpTest.cpp
+++ b/src/foxtailwheel/http/HttpTest.cpp
@@ -18,7 +18,7 @@
 namespace net = boost::asio;
 using net::ip::tcp;
 
-/// A server that answers with the body it got, and a client.
+/// A client and a server that echoes request bodies unless a handler is given.
 struct Fixture {
     explicit Fixture(http::Handler handler = echo())
     {
@@ -46,26 +46,26 @@
 
     http::CallResult call(const std::string& body, bool idempotent = true, Duration timeout = 10s)
     {
-        const auto until = clock->now() + timeout;
+        const auto deadline = clock->now() + timeout;
         std::promise<http::CallResult> done;
         http::CallEvents events;
         events.onDone = [&](http::CallResult result) { done.set_value(std::move(result)); };
-        client->start({ { "127.0.0.1", server->port() }, { "POST", "/", {}, body }, until, until, idempotent },
+        client->start({ { "127.0.0.1", server->port() }, { "POST", "/", {}, body }, deadline, deadline, idempotent },
             std::move(events));
         return done.get_future().get();
     }
 
-    /// Sends raw bytes and reads until the server closes.
-    std::string raw(const std::string& bytes)
+    /// Sends raw bytes and returns everything received until the server closes the connection.
+    std::string sendRaw(const std::string& bytes)
     {
         net::io_context context;
         tcp::socket socket(context);
         socket.connect({ net::ip::make_address("127.0.0.1"), server->port() });
         boost::system::error_code ec;
         net::write(socket, net::buffer(bytes), ec);
-        std::string answer;
-        net::read(socket, net::dynamic_buffer(answer), ec);
-        return answer;
+        std::string response;
+        net::read(socket, net::dynamic_buffer(response), ec);
+        return response;
     }
 
     std::unique_ptr<Clock> clock = systemClock();
@@ -76,7 +76,7 @@
 
 } // namespace
 
-Test(Http, bodiesComeBackOverReusedConnections)
+Test(Http, reusesTheConnectionForIdempotentCalls)
 {
     Fixture it;
     for (int i = 0; i < 50; ++i)
@@ -84,7 +84,7 @@
     cr_assert_eq(it.server->connections(), 1U);
 }
 
-Test(Http, callsWithAnEffectGetConnectionsOfTheirOwn)
+Test(Http, opensANewConnectionForEachNonIdempotentCall)
 {
     Fixture it;
     for (int i = 0; i < 5; ++i)
@@ -92,42 +92,44 @@
     cr_assert_geq(it.server->connections(), 5U);
 }
 
-Test(Http, faultyRequestsGetAClearError)
+Test(Http, rejectsInvalidRequestsWithTheMatchingStatus)
 {
     Fixture it;
-    cr_assert(it.raw("NONSENSE\r\n\r\n").find(" 400 ") != std::string::npos);
-    cr_assert(it.raw("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 5000\r\n\r\n").find(" 413 ") != std::string::npos);
-    cr_assert(it.raw("GET / HTTP/1.1\r\nHost: x\r\nX-Long: " + std::string(5000, 'x') + "\r\n\r\n").find(" 431 ")
+    cr_assert(it.sendRaw("NONSENSE\r\n\r\n").find(" 400 ") != std::string::npos);
+    cr_assert(
+        it.sendRaw("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 5000\r\n\r\n").find(" 413 ") != std::string::npos);
+    cr_assert(it.sendRaw("GET / HTTP/1.1\r\nHost: x\r\nX-Long: " + std::string(5000, 'x') + "\r\n\r\n").find(" 431 ")
         != std::string::npos);
 }
 
-Test(Http, slowSendersAreLetGo)
+Test(Http, respondsWith408WhenTheRequestIsIncompleteAtTheTimeout)
 {
     Fixture it;
-    cr_assert(it.raw("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\nabc").find(" 408 ") != std::string::npos);
-    cr_assert(it.raw("POST / HTTP/1.1\r\nHo").find(" 408 ") != std::string::npos);
+    cr_assert(
+        it.sendRaw("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\nabc").find(" 408 ") != std::string::npos);
+    cr_assert(it.sendRaw("POST / HTTP/1.1\r\nHo").find(" 408 ") != std::string::npos);
 }
 
-Test(Http, aSilentServerEndsAtTheDeadlineAndIsToldApart)
+Test(Http, reportsTimedOutWhenTheServerDoesNotRespond)
 {
-    std::vector<std::shared_ptr<http::Responder>> held;
+    std::vector<std::shared_ptr<http::Responder>> responders;
     std::mutex mutex;
     Fixture it([&](const http::Request&, const std::shared_ptr<http::Responder>& responder) {
         const std::lock_guard lock(mutex);
-        held.push_back(responder);
+        responders.push_back(responder);
     });
     cr_assert(it.call("x", true, 300ms).end == http::CallEnd::TimedOut);
     it.pool->stop();
-    held.clear();
+    responders.clear();
 }
 
-Test(Http, aServerThatClosesIsBroken)
+Test(Http, reportsALostConnectionWhenTheServerCloses)
 {
     Fixture it([](const http::Request&, const std::shared_ptr<http::Responder>& responder) { responder->abort(); });
     cr_assert(it.call("x").end == http::CallEnd::Broken);
 }
 
-Test(Http, aBodyThatEndsEarlyIsNoAnswer)
+Test(Http, reportsALostConnectionWhenTheBodyIsTruncated)
 {
     Fixture it([](const http::Request&, const std::shared_ptr<http::Responder>& responder) {
         responder->beginStream({ 200, {}, {} });
@@ -137,25 +139,25 @@
     cr_assert(it.call("x").end == http::CallEnd::Broken);
 }
 
-Test(Http, nobodyThereMeansNotSent)
+Test(Http, reportsNotSentWhenTheConnectionIsRefused)
 {
     Fixture it;
-    const auto until = it.clock->now() + 5s;
+    const auto deadline = it.clock->now() + 5s;
     std::promise<http::CallResult> done;
-    bool firstByte = false;
+    bool sendStarted = false;
     http::CallEvents events;
-    events.onFirstByte = [&] { firstByte = true; };
+    events.onFirstByte = [&] { sendStarted = true; };
     events.onDone = [&](http::CallResult result) { done.set_value(std::move(result)); };
-    it.client->start({ { "127.0.0.1", 1 }, { "POST", "/", {}, "x" }, until, until, false }, std::move(events));
+    it.client->start({ { "127.0.0.1", 1 }, { "POST", "/", {}, "x" }, deadline, deadline, false }, std::move(events));
     cr_assert(done.get_future().get().end == http::CallEnd::NotSent);
-    cr_assert(!firstByte);
+    cr_assert(!sendStarted);
 }
 
-Test(Http, aCallerThatLeavesIsNoticed)
+Test(Http, notifiesTheHandlerWhenTheClientDisconnects)
 {
-    std::promise<void> gone;
+    std::promise<void> disconnected;
     Fixture it([&](const http::Request&, const std::shared_ptr<http::Responder>& responder) {
-        responder->onGone([&gone] { gone.set_value(); });
+        responder->onGone([&disconnected] { disconnected.set_value(); });
     });
     {
         net::io_context context;
@@ -164,16 +166,16 @@
         net::write(socket, net::buffer(std::string("GET / HTTP/1.1\r\nHost: x\r\n\r\n")));
         std::this_thread::sleep_for(50ms);
     }
-    cr_assert(gone.get_future().wait_for(10s) == std::future_status::ready);
+    cr_assert(disconnected.get_future().wait_for(10s) == std::future_status::ready);
 }
 
-Test(Http, aCallerThatDoesNotReadHoldsBoundedMemory)
+Test(Http, boundsTheMemoryQueuedForAClientThatDoesNotRead)
 {
-    std::atomic<std::size_t> taken { 0 };
+    std::atomic<std::size_t> queued { 0 };
     Fixture it([&](const http::Request&, const std::shared_ptr<http::Responder>& responder) {
         responder->beginStream({ 200, {}, {} });
-        while (responder->write(std::string(16U << 10U, 'x')) && taken < (64U << 20U))
-            taken += 16U << 10U;
+        while (responder->write(std::string(16U << 10U, 'x')) && queued < (64U << 20U))
+            queued += 16U << 10U;
     });
     net::io_context context;
     tcp::socket socket(context);
@@ -182,31 +184,31 @@
     char byte = 0;
     boost::system::error_code ec;
     net::read(socket, net::buffer(&byte, 1), ec);
-    cr_assert_lt(taken.load(), 64U << 20U);
+    cr_assert_lt(queued.load(), 64U << 20U);
 }
 
-Test(HttpServer, aRequestWhoseEndTwoReadersCouldSeeDifferentlyIsRefused)
+Test(HttpServer, rejectsRequestsWithAmbiguousFramingOrHost)
 {
-    const std::vector<std::string> heads { "Host: a\r\nTransfer-Encoding: xchunked\r\n",
+    const std::vector<std::string> headerBlocks { "Host: a\r\nTransfer-Encoding: xchunked\r\n",
         "Host: a\r\nTransfer-Encoding: chunked, identity\r\n", "Host: a\r\nTransfer-Encoding: identity\r\n",
         "Host: a\r\nTransfer-Encoding: chunked\r\nContent-Length: 4\r\n",
         "Host: a\r\nTransfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n", "X: 1\r\n",
         "Host: a\r\nHost: b\r\n" };
-    for (const auto& head : heads) {
+    for (const auto& headers : headerBlocks) {
         std::atomic<int> handled { 0 };
         Fixture fixture([&](const http::Request&, const std::shared_ptr<http::Responder>& responder) {
             ++handled;
             responder->respond({ 200, {}, {} });
         });
-        const auto answer
-            = fixture.raw("POST / HTTP/1.1\r\n" + head + "\r\n0\r\n\r\nGET /inner HTTP/1.1\r\nHost: a\r\n\r\n");
-        cr_assert_eq(handled, 0, "%s", head.c_str());
-        cr_assert(answer.starts_with("HTTP/1.1 400") || answer.starts_with("HTTP/1.1 501"), "%s: %s", head.c_str(),
-            answer.c_str());
+        const auto response
+            = fixture.sendRaw("POST / HTTP/1.1\r\n" + headers + "\r\n0\r\n\r\nGET /inner HTTP/1.1\r\nHost: a\r\n\r\n");
+        cr_assert_eq(handled, 0, "%s", headers.c_str());
+        cr_assert(response.starts_with("HTTP/1.1 400") || response.starts_with("HTTP/1.1 501"), "%s: %s",
+            headers.c_str(), response.c_str());
     }
 }
 
-Test(HttpServer, aServerMayOutliveItsPool)
+Test(HttpServer, canBeDestroyedAfterItsIoPool)
 {
     for (int i = 0; i < 200; ++i) {
         auto pool = http::IoPool::create(1);
@@ -219,11 +221,11 @@
     }
 }
 
-Test(HttpClient, anAnswerBeforeTheWholeRequestWasReadIsTaken)
+Test(HttpClient, acceptsAResponseSentBeforeTheWholeRequestWasRead)
 {
     net::io_context context;
     tcp::acceptor acceptor(context, { net::ip::make_address("127.0.0.1"), 0 });
-    std::thread early([&] {
+    std::thread serverThread([&] {
         tcp::socket socket(context);
         acceptor.accept(socket);
         std::string buf(1024, ' ');
@@ -238,12 +240,12 @@
     std::promise<http::CallResult> done;
     http::CallEvents events;
     events.onDone = [&](http::CallResult result) { done.set_value(std::move(result)); };
-    const auto until = clock->now() + 5s;
+    const auto deadline = clock->now() + 5s;
     client->start({ { "127.0.0.1", acceptor.local_endpoint().port() },
-                      { "POST", "/", {}, std::string(32U << 20U, 'x') }, until, until, true },
+                      { "POST", "/", {}, std::string(32U << 20U, 'x') }, deadline, deadline, true },
         std::move(events));
     const auto result = done.get_future().get();
-    early.join();
+    serverThread.join();
     pool->stop();
     cr_assert_eq(result.end, http::CallEnd::Complete);
     cr_assert_eq(result.response.status, 503);
--- a/src/foxtailwheel/http/IoPool.cpp
+++ b/src/foxtailwheel/http/IoPool.cpp
@@ -17,40 +17,40 @@
     explicit Impl(std::size_t n)
         : shared(std::make_shared<net::io_context>(static_cast<int>(n)))
         , context(*shared)
-        , guard(net::make_work_guard(context))
-        , signals(context)
+        , workGuard(net::make_work_guard(context))
+        , terminationSignals(context)
         , reloadSignals(context)
     {
     }
 
-    void awaitSignal()
+    void waitForTermination()
     {
-        signals.async_wait([this](const boost::system::error_code& ec, int /*signal*/) {
+        terminationSignals.async_wait([this](const boost::system::error_code& ec, int /*signal*/) {
             if (ec)
                 return;
-            onSignal(++signalCount);
-            awaitSignal();
+            onTerminate(++terminationCount);
+            waitForTermination();
         });
     }
 
-    void awaitReload()
+    void waitForReload()
     {
         reloadSignals.async_wait([this](const boost::system::error_code& ec, int /*signal*/) {
             if (ec)
                 return;
             onReload();
-            awaitReload();
+            waitForReload();
         });
     }
 
     std::shared_ptr<net::io_context> shared;
     net::io_context& context;
-    net::executor_work_guard<net::io_context::executor_type> guard;
-    net::signal_set signals;
+    net::executor_work_guard<net::io_context::executor_type> workGuard;
+    net::signal_set terminationSignals;
     net::signal_set reloadSignals;
-    std::function<void(int)> onSignal;
+    std::function<void(int)> onTerminate;
     std::function<void()> onReload;
-    int signalCount = 0;
+    int terminationCount = 0;
     std::vector<std::thread> threads;
 };
 
@@ -89,22 +89,22 @@
 
 void IoPool::onTerminate(std::function<void(int)> work)
 {
-    m_impl->onSignal = std::move(work);
-    m_impl->signals.add(SIGTERM);
-    m_impl->signals.add(SIGINT);
-    m_impl->awaitSignal();
+    m_impl->onTerminate = std::move(work);
+    m_impl->terminationSignals.add(SIGTERM);
+    m_impl->terminationSignals.add(SIGINT);
+    m_impl->waitForTermination();
 }
 
 void IoPool::onReload(std::function<void()> work)
 {
     m_impl->onReload = std::move(work);
     m_impl->reloadSignals.add(SIGHUP);
-    m_impl->awaitReload();
+    m_impl->waitForReload();
 }
 
 void IoPool::stop()
 {
-    m_impl->guard.reset();
+    m_impl->workGuard.reset();
     m_impl->context.stop();
     for (auto& it : m_impl->threads) {
         if (it.joinable())
--- a/src/foxtailwheel/http/Message.cpp
+++ b/src/foxtailwheel/http/Message.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-    bool sameName(std::string_view a, std::string_view b)
+    bool equalsIgnoreCase(std::string_view a, std::string_view b)
     {
         const auto lower = [](unsigned char c) { return std::tolower(c); };
         return std::equal(a.begin(), a.end(), b.begin(), b.end(), [&](char x, char y) {
@@ -36,8 +36,8 @@
 
 std::string_view findHeader(const Headers& headers, std::string_view name)
 {
-    const auto it
-        = std::find_if(headers.begin(), headers.end(), [name](const Header& h) { return sameName(h.name, name); });
+    const auto it = std::find_if(
+        headers.begin(), headers.end(), [name](const Header& h) { return equalsIgnoreCase(h.name, name); });
     return it == headers.end() ? std::string_view() : std::string_view(it->value);
 }
 
@@ -48,8 +48,9 @@
 
 std::string Request::query(std::string_view name) const
 {
-    const auto mark = target.find('?');
-    std::string_view rest = mark == std::string::npos ? std::string_view() : std::string_view(target).substr(mark + 1);
+    const auto queryStart = target.find('?');
+    std::string_view rest
+        = queryStart == std::string::npos ? std::string_view() : std::string_view(target).substr(queryStart + 1);
     while (!rest.empty()) {
         const auto end = std::min(rest.find('&'), rest.size());
         const auto pair = rest.substr(0, end);
--- a/src/foxtailwheel/http/Server.cpp
+++ b/src/foxtailwheel/http/Server.cpp
@@ -26,21 +26,21 @@
 
 namespace {
 
-    constexpr auto token = net::as_tuple(net::use_awaitable);
+    constexpr auto completionToken = net::as_tuple(net::use_awaitable);
     constexpr int listenBacklog = 1024;
 
-    /// Counts that outlive the server's connections.
-    struct Counts {
-        std::atomic<std::size_t> inProgress { 0 };
+    /// State that the server shares with its connections, some of which may outlive it.
+    struct SharedState {
+        std::atomic<std::size_t> requestsInProgress { 0 };
         std::atomic<std::size_t> connections { 0 };
-        std::atomic<bool> closing { false };
-        std::atomic<bool> closingAnswers { false };
+        std::atomic<bool> stopping { false };
+        std::atomic<bool> keepAliveDisabled { false };
     };
 
-    /// Limits as they stand now, shared by the connections.
-    class LimitsNow {
+    /// Current limits, shared by the connections.
+    class CurrentLimits {
     public:
-        explicit LimitsNow(const ServerLimits& limits)
+        explicit CurrentLimits(const ServerLimits& limits)
             : m_limits(limits)
         {
         }
@@ -62,96 +62,97 @@
         ServerLimits m_limits;
     };
 
-    enum class PartKind { Whole, Head, Chunk, End, Abort };
+    enum class ResponsePartKind { Complete, Headers, Chunk, LastChunk, Abort };
 
-    struct Part {
-        PartKind kind = PartKind::Whole;
+    struct ResponsePart {
+        ResponsePartKind kind = ResponsePartKind::Complete;
         Response response;
         std::string chunk;
     };
 
-    /// One request with the parts of its response on their way from any thread to the connection's coroutine.
+    /// A request in progress: queues the parts of its response, which any thread may add, for the connection's
+    /// coroutine.
     class Exchange final : public Responder, public std::enable_shared_from_this<Exchange> {
     public:
-        Exchange(const net::any_io_executor& executor, std::size_t maxUnread)
-            : m_wake(executor, net::steady_timer::time_point::max())
-            , m_maxUnread(maxUnread)
+        Exchange(const net::any_io_executor& executor, std::size_t maxQueuedBytes)
+            : m_wakeTimer(executor, net::steady_timer::time_point::max())
+            , m_maxQueuedBytes(maxQueuedBytes)
         {
         }
 
-        void respond(Response response) override { push({ PartKind::Whole, std::move(response), {} }); }
-        void beginStream(Response head) override { push({ PartKind::Head, std::move(head), {} }); }
-        bool write(std::string chunk) override { return push({ PartKind::Chunk, {}, std::move(chunk) }); }
-        void endStream() override { push({ PartKind::End, {}, {} }); }
-        void abort() override { push({ PartKind::Abort, {}, {} }); }
+        void respond(Response response) override { push({ ResponsePartKind::Complete, std::move(response), {} }); }
+        void beginStream(Response head) override { push({ ResponsePartKind::Headers, std::move(head), {} }); }
+        bool write(std::string chunk) override { return push({ ResponsePartKind::Chunk, {}, std::move(chunk) }); }
+        void endStream() override { push({ ResponsePartKind::LastChunk, {}, {} }); }
+        void abort() override { push({ ResponsePartKind::Abort, {}, {} }); }
         void onGone(std::function<void()> work) override;
 
-        /// Waits for the next part; runs on the connection's strand.
-        net::awaitable<Part> next();
-        /// The peer is gone: drops what is queued and tells the handler.
-        void leave();
+        /// Waits for the next part; must run on the connection's strand.
+        net::awaitable<ResponsePart> nextPart();
+        /// Discards queued parts, and calls the disconnect callback if the response is incomplete.
+        void close();
 
     private:
-        bool push(Part part);
+        bool push(ResponsePart part);
 
         mutable std::mutex m_mutex;
-        std::deque<Part> m_parts;
-        std::size_t m_unread = 0;
-        bool m_gone = false;
+        std::deque<ResponsePart> m_parts;
+        std::size_t m_queuedBytes = 0;
+        bool m_closed = false;
         bool m_ended = false;
-        std::function<void()> m_onGone;
-        net::steady_timer m_wake;
-        std::size_t m_maxUnread;
+        std::function<void()> m_onDisconnect;
+        net::steady_timer m_wakeTimer;
+        std::size_t m_maxQueuedBytes;
     };
 
-    bool Exchange::push(Part part)
+    bool Exchange::push(ResponsePart part)
     {
         {
             const std::lock_guard lock(m_mutex);
-            if (m_gone || m_ended)
+            if (m_closed || m_ended)
                 return false;
-            m_unread += part.chunk.size();
-            if (m_unread > m_maxUnread)
-                part = { PartKind::Abort, {}, {} };
-            m_ended = part.kind != PartKind::Head && part.kind != PartKind::Chunk;
+            m_queuedBytes += part.chunk.size();
+            if (m_queuedBytes > m_maxQueuedBytes)
+                part = { ResponsePartKind::Abort, {}, {} };
+            m_ended = part.kind != ResponsePartKind::Headers && part.kind != ResponsePartKind::Chunk;
             m_parts.push_back(std::move(part));
         }
-        net::post(m_wake.get_executor(), [self = shared_from_this()] { self->m_wake.cancel(); });
+        net::post(m_wakeTimer.get_executor(), [self = shared_from_this()] { self->m_wakeTimer.cancel(); });
         const std::lock_guard lock(m_mutex);
-        return m_unread <= m_maxUnread;
+        return m_queuedBytes <= m_maxQueuedBytes;
     }
 
     void Exchange::onGone(std::function<void()> work)
     {
         {
             const std::lock_guard lock(m_mutex);
-            if (!m_gone) {
-                m_onGone = std::move(work);
+            if (!m_closed) {
+                m_onDisconnect = std::move(work);
                 return;
             }
         }
         work();
     }
 
-    void Exchange::leave()
+    void Exchange::close()
     {
         std::function<void()> work;
         {
             const std::lock_guard lock(m_mutex);
-            if (m_gone)
+            if (m_closed)
                 return;
-            m_gone = true;
+            m_closed = true;
             if (!m_ended)
-                work = std::move(m_onGone);
-            m_onGone = nullptr;
+                work = std::move(m_onDisconnect);
+            m_onDisconnect = nullptr;
             m_parts.clear();
         }
-        m_wake.cancel();
+        m_wakeTimer.cancel();
         if (work)
             work();
     }
 
-    net::awaitable<Part> Exchange::next()
+    net::awaitable<ResponsePart> Exchange::nextPart()
     {
         for (;;) {
             {
@@ -159,57 +160,57 @@
                 if (!m_parts.empty()) {
                     auto part = std::move(m_parts.front());
                     m_parts.pop_front();
-                    m_unread -= part.chunk.size();
+                    m_queuedBytes -= part.chunk.size();
                     co_return part;
                 }
-                if (m_gone)
-                    co_return Part { PartKind::Abort, {}, {} };
+                if (m_closed)
+                    co_return ResponsePart { ResponsePartKind::Abort, {}, {} };
             }
-            m_wake.expires_at(net::steady_timer::time_point::max());
-            co_await m_wake.async_wait(token);
+            m_wakeTimer.expires_at(net::steady_timer::time_point::max());
+            co_await m_wakeTimer.async_wait(completionToken);
         }
     }
 
-    Response plainError(unsigned status, const std::string& code)
+    Response errorResponse(unsigned status, const std::string& code)
     {
         return { status, { { "Content-Type", "application/json" } },
             "{\"outcome\":\"not_run\",\"reason\":\"" + code + "\"}" };
     }
 
-    struct FramingFault {
+    struct FramingError {
         unsigned status = 400;
         std::string code;
     };
 
-    /// Finds what would let two readers of a request disagree about its end or its host (RFC 9112).
-    std::optional<FramingFault> framingFault(const beast::http::request<beast::http::string_body>& message)
+    /// Detects requests whose end or host two parsers could interpret differently, as in request smuggling (RFC 9112).
+    std::optional<FramingError> findFramingError(const beast::http::request<beast::http::string_body>& message)
     {
         namespace bhttp = beast::http;
         if (message.version() >= 11 && message.count(bhttp::field::host) != 1)
-            return FramingFault { 400, "host_missing_or_repeated" };
+            return FramingError { 400, "host_missing_or_repeated" };
         const auto codings = message.count(bhttp::field::transfer_encoding);
         if (codings > 0 && message.count(bhttp::field::content_length) > 0)
-            return FramingFault { 400, "length_and_transfer_encoding" };
+            return FramingError { 400, "length_and_transfer_encoding" };
         if (codings > 1 || (codings == 1 && !beast::iequals(message[bhttp::field::transfer_encoding], "chunked")))
-            return FramingFault { message.chunked() ? 501U : 400U, "unknown_transfer_encoding" };
+            return FramingError { message.chunked() ? 501U : 400U, "unknown_transfer_encoding" };
         return std::nullopt;
     }
 
-    /// One connection of a caller.
+    /// A connection of a client.
     class Connection : public std::enable_shared_from_this<Connection> {
     public:
-        Connection(tcp::socket socket, const ServerOptions& options, std::shared_ptr<const LimitsNow> limits,
-            Handler handler, std::shared_ptr<Counts> counts)
+        Connection(tcp::socket socket, const ServerOptions& options, std::shared_ptr<const CurrentLimits> limits,
+            Handler handler, std::shared_ptr<SharedState> state)
             : m_stream(std::move(socket))
-            , m_timer(m_stream.get_executor())
+            , m_readTimer(m_stream.get_executor())
             , m_options(options)
-            , m_limitsNow(std::move(limits))
+            , m_currentLimits(std::move(limits))
             , m_handler(std::move(handler))
-            , m_counts(std::move(counts))
+            , m_state(std::move(state))
         {
-            ++m_counts->connections;
+            ++m_state->connections;
         }
-        ~Connection() { --m_counts->connections; }
+        ~Connection() { --m_state->connections; }
         Connection(const Connection&) = delete;
         Connection& operator=(const Connection&) = delete;
 
@@ -217,119 +218,121 @@
 
     private:
         net::awaitable<std::optional<Request>> readRequest(bool& keepAlive, bool first);
-        net::awaitable<bool> sendWhole(Response response, bool keepAlive);
-        net::awaitable<bool> sendHead(Response response, bool keepAlive);
+        net::awaitable<bool> sendComplete(Response response, bool keepAlive);
+        net::awaitable<bool> sendHeaders(Response response, bool keepAlive);
         net::awaitable<bool> sendChunk(std::string chunk);
-        net::awaitable<bool> sendEnd();
-        net::awaitable<bool> answer(const std::shared_ptr<Exchange>& exchange, bool keepAlive);
-        net::awaitable<void> refuse(const boost::system::error_code& ec, bool headerRead);
-        void watch();
-        void limit(Duration timeout);
-        void endLimit();
+        net::awaitable<bool> sendLastChunk();
+        net::awaitable<bool> writeResponse(const std::shared_ptr<Exchange>& exchange, bool keepAlive);
+        net::awaitable<void> sendReadError(const boost::system::error_code& ec, bool headerRead);
+        void watchForDisconnect();
+        void startReadTimeout(Duration timeout);
+        void cancelReadTimeout();
 
         beast::tcp_stream m_stream;
-        net::steady_timer m_timer; ///< Of a read; the stream's own would close the connection before an error is sent.
-        bool m_tooSlow = false;
-        std::uint64_t m_limits = 0;
+        // The timeout of the stream would close the connection before an error response can be sent.
+        net::steady_timer m_readTimer;
+        bool m_readTimedOut = false;
+        std::uint64_t m_readTimeoutId = 0;
         beast::flat_buffer m_buffer;
         const ServerOptions& m_options;
-        std::shared_ptr<const LimitsNow> m_limitsNow;
+        std::shared_ptr<const CurrentLimits> m_currentLimits;
         Handler m_handler;
-        std::shared_ptr<Counts> m_counts;
-        std::weak_ptr<Exchange> m_current;
-        bool m_watching = false;
+        std::shared_ptr<SharedState> m_state;
+        std::weak_ptr<Exchange> m_currentExchange;
+        bool m_watchingForDisconnect = false;
     };
 
-    /// Notices a peer that closes while its request is being worked on.
-    void Connection::watch()
+    /// Detects that the peer closes the connection while its request is being processed.
+    void Connection::watchForDisconnect()
     {
-        if (m_watching)
+        if (m_watchingForDisconnect)
             return;
-        m_watching = true;
+        m_watchingForDisconnect = true;
         m_stream.socket().async_wait(
             tcp::socket::wait_read, [self = shared_from_this()](const boost::system::error_code& ec) {
-                self->m_watching = false;
-                const auto exchange = self->m_current.lock();
+                self->m_watchingForDisconnect = false;
+                const auto exchange = self->m_currentExchange.lock();
                 if (ec || !exchange)
                     return;
                 char byte = 0;
-                boost::system::error_code peeked;
-                self->m_stream.socket().non_blocking(true, peeked);
+                boost::system::error_code peekError;
+                self->m_stream.socket().non_blocking(true, peekError);
                 const auto n
-                    = self->m_stream.socket().receive(net::buffer(&byte, 1), tcp::socket::message_peek, peeked);
-                if (peeked == net::error::would_block)
-                    self->watch();
-                else if (n == 0 || peeked)
-                    exchange->leave();
+                    = self->m_stream.socket().receive(net::buffer(&byte, 1), tcp::socket::message_peek, peekError);
+                if (peekError == net::error::would_block)
+                    self->watchForDisconnect();
+                else if (n == 0 || peekError)
+                    exchange->close();
             });
     }
 
-    /// Bounds the read that comes next.
-    void Connection::limit(Duration timeout)
+    /// Starts the timeout of the next read.
+    void Connection::startReadTimeout(Duration timeout)
     {
         m_stream.expires_never();
-        m_tooSlow = false;
-        m_timer.expires_after(timeout);
-        m_timer.async_wait([self = shared_from_this(), n = ++m_limits](const boost::system::error_code& ec) {
-            if (ec || n != self->m_limits)
+        m_readTimedOut = false;
+        m_readTimer.expires_after(timeout);
+        m_readTimer.async_wait([self = shared_from_this(), n = ++m_readTimeoutId](const boost::system::error_code& ec) {
+            if (ec || n != self->m_readTimeoutId)
                 return;
-            self->m_tooSlow = true;
+            self->m_readTimedOut = true;
             self->m_stream.cancel();
         });
     }
 
-    /// Ends the bound; one that is due at this moment no longer counts.
-    void Connection::endLimit()
+    /// Cancels the read timeout; one that has already expired but was not yet handled is ignored.
+    void Connection::cancelReadTimeout()
     {
-        ++m_limits;
-        m_timer.cancel();
+        ++m_readTimeoutId;
+        m_readTimer.cancel();
     }
 
-    net::awaitable<void> Connection::refuse(const boost::system::error_code& ec, bool headerRead)
+    net::awaitable<void> Connection::sendReadError(const boost::system::error_code& ec, bool headerRead)
     {
         namespace bhttp = beast::http;
-        endLimit();
+        cancelReadTimeout();
         if (ec == bhttp::error::end_of_stream || ec == net::error::connection_reset)
             co_return;
-        if (ec == net::error::operation_aborted && !m_tooSlow)
+        if (ec == net::error::operation_aborted && !m_readTimedOut)
             co_return;
-        Response response = plainError(400, "malformed_http");
+        Response response = errorResponse(400, "malformed_http");
         if (ec == bhttp::error::body_limit)
-            response = plainError(413, "body_too_large");
+            response = errorResponse(413, "body_too_large");
         else if (ec == bhttp::error::header_limit)
-            response = plainError(431, "header_too_large");
-        else if (m_tooSlow && !headerRead && m_buffer.size() == 0)
+            response = errorResponse(431, "header_too_large");
+        else if (m_readTimedOut && !headerRead && m_buffer.size() == 0)
             co_return;
-        else if (m_tooSlow)
-            response = plainError(408, "too_slow");
-        co_await sendWhole(std::move(response), false);
+        else if (m_readTimedOut)
+            response = errorResponse(408, "too_slow");
+        co_await sendComplete(std::move(response), false);
     }
 
     net::awaitable<std::optional<Request>> Connection::readRequest(bool& keepAlive, bool first)
     {
         namespace bhttp = beast::http;
         bhttp::request_parser<bhttp::string_body> parser;
-        const auto limits = m_limitsNow->get();
+        const auto limits = m_currentLimits->get();
         parser.header_limit(limits.maxHeaderBytes);
         parser.body_limit(limits.maxBodyBytes);
-        limit(first ? limits.headerTimeout : limits.idleTimeout);
-        auto [headerError, headerBytes] = co_await bhttp::async_read_header(m_stream, m_buffer, parser, token);
+        startReadTimeout(first ? limits.headerTimeout : limits.idleTimeout);
+        auto [headerError, headerBytes]
+            = co_await bhttp::async_read_header(m_stream, m_buffer, parser, completionToken);
         if (headerError) {
-            co_await refuse(headerError, false);
+            co_await sendReadError(headerError, false);
             co_return std::nullopt;
         }
-        if (const auto fault = framingFault(parser.get())) {
-            endLimit();
-            co_await sendWhole(plainError(fault->status, fault->code), false);
+        if (const auto error = findFramingError(parser.get())) {
+            cancelReadTimeout();
+            co_await sendComplete(errorResponse(error->status, error->code), false);
             co_return std::nullopt;
         }
-        limit(limits.bodyTimeout);
-        auto [bodyError, bodyBytes] = co_await bhttp::async_read(m_stream, m_buffer, parser, token);
+        startReadTimeout(limits.bodyTimeout);
+        auto [bodyError, bodyBytes] = co_await bhttp::async_read(m_stream, m_buffer, parser, completionToken);
         if (bodyError) {
-            co_await refuse(bodyError, true);
+            co_await sendReadError(bodyError, true);
             co_return std::nullopt;
         }
-        endLimit();
+        cancelReadTimeout();
         auto message = parser.release();
         keepAlive = message.keep_alive();
         Request request { std::string(message.method_string()), std::string(message.target()), {},
@@ -339,7 +342,7 @@
         co_return request;
     }
 
-    net::awaitable<bool> Connection::sendWhole(Response response, bool keepAlive)
+    net::awaitable<bool> Connection::sendComplete(Response response, bool keepAlive)
     {
         namespace bhttp = beast::http;
         bhttp::response<bhttp::string_body> message { static_cast<bhttp::status>(response.status), 11 };
@@ -349,11 +352,11 @@
         message.body() = std::move(response.body);
         message.prepare_payload();
         m_stream.expires_after(m_options.writeTimeout);
-        auto [ec, n] = co_await bhttp::async_write(m_stream, message, token);
+        auto [ec, n] = co_await bhttp::async_write(m_stream, message, completionToken);
         co_return !ec;
     }
 
-    net::awaitable<bool> Connection::sendHead(Response response, bool keepAlive)
+    net::awaitable<bool> Connection::sendHeaders(Response response, bool keepAlive)
     {
         namespace bhttp = beast::http;
         bhttp::response<bhttp::empty_body> message { static_cast<bhttp::status>(response.status), 11 };
@@ -363,46 +366,47 @@
         message.chunked(true);
         bhttp::response_serializer<bhttp::empty_body> serializer(message);
         m_stream.expires_after(m_options.writeTimeout);
-        auto [ec, n] = co_await bhttp::async_write_header(m_stream, serializer, token);
+        auto [ec, n] = co_await bhttp::async_write_header(m_stream, serializer, completionToken);
         co_return !ec;
     }
 
     net::awaitable<bool> Connection::sendChunk(std::string chunk)
     {
         m_stream.expires_after(m_options.writeTimeout);
-        auto [ec, n] = co_await net::async_write(m_stream, beast::http::make_chunk(net::buffer(chunk)), token);
+        auto [ec, n]
+            = co_await net::async_write(m_stream, beast::http::make_chunk(net::buffer(chunk)), completionToken);
         co_return !ec;
     }
 
-    net::awaitable<bool> Connection::sendEnd()
+    net::awaitable<bool> Connection::sendLastChunk()
     {
         m_stream.expires_after(m_options.writeTimeout);
-        auto [ec, n] = co_await net::async_write(m_stream, beast::http::make_chunk_last(), token);
+        auto [ec, n] = co_await net::async_write(m_stream, beast::http::make_chunk_last(), completionToken);
         co_return !ec;
     }
 
-    net::awaitable<bool> Connection::answer(const std::shared_ptr<Exchange>& exchange, bool keepAlive)
+    net::awaitable<bool> Connection::writeResponse(const std::shared_ptr<Exchange>& exchange, bool keepAlive)
     {
-        bool usable = true;
-        while (usable) {
+        bool sent = true;
+        while (sent) {
             m_stream.expires_never();
-            auto part = co_await exchange->next();
+            auto part = co_await exchange->nextPart();
             switch (part.kind) {
-            case PartKind::Whole:
-                keepAlive = keepAlive && !m_counts->closing && !m_counts->closingAnswers;
-                usable = co_await sendWhole(std::move(part.response), keepAlive);
-                co_return usable&& keepAlive;
-            case PartKind::Head:
-                keepAlive = keepAlive && !m_counts->closing && !m_counts->closingAnswers;
-                usable = co_await sendHead(std::move(part.response), keepAlive);
+            case ResponsePartKind::Complete:
+                keepAlive = keepAlive && !m_state->stopping && !m_state->keepAliveDisabled;
+                sent = co_await sendComplete(std::move(part.response), keepAlive);
+                co_return sent&& keepAlive;
+            case ResponsePartKind::Headers:
+                keepAlive = keepAlive && !m_state->stopping && !m_state->keepAliveDisabled;
+                sent = co_await sendHeaders(std::move(part.response), keepAlive);
                 break;
-            case PartKind::Chunk:
-                usable = co_await sendChunk(std::move(part.chunk));
+            case ResponsePartKind::Chunk:
+                sent = co_await sendChunk(std::move(part.chunk));
                 break;
-            case PartKind::End:
-                usable = co_await sendEnd();
-                co_return usable&& keepAlive;
-            case PartKind::Abort:
+            case ResponsePartKind::LastChunk:
+                sent = co_await sendLastChunk();
+                co_return sent&& keepAlive;
+            case ResponsePartKind::Abort:
                 co_return false;
             }
         }
@@ -413,21 +417,21 @@
     {
         boost::system::error_code ignored;
         m_stream.socket().set_option(tcp::no_delay(true), ignored);
-        bool usable = true;
-        for (bool first = true; usable && !(m_counts->closing && !first); first = false) {
+        bool reusable = true;
+        for (bool first = true; reusable && !(m_state->stopping && !first); first = false) {
             bool keepAlive = true;
             auto request = co_await readRequest(keepAlive, first);
             if (!request)
                 break;
-            ++m_counts->inProgress;
+            ++m_state->requestsInProgress;
             auto exchange = std::make_shared<Exchange>(m_stream.get_executor(), m_options.maxUnreadBytes);
-            m_current = exchange;
-            watch();
+            m_currentExchange = exchange;
+            watchForDisconnect();
             m_handler(std::move(*request), exchange);
-            usable = co_await answer(exchange, keepAlive);
-            m_current.reset();
-            exchange->leave();
-            --m_counts->inProgress;
+            reusable = co_await writeResponse(exchange, keepAlive);
+            m_currentExchange.reset();
+            exchange->close();
+            --m_state->requestsInProgress;
         }
         m_stream.socket().shutdown(tcp::socket::shutdown_both, ignored);
         m_stream.close();
@@ -440,20 +444,20 @@
         : context(ioContext)
         , acceptor(net::make_strand(ioContext))
         , options(std::move(o))
-        , limits(std::make_shared<LimitsNow>(options))
+        , limits(std::make_shared<CurrentLimits>(options))
         , handler(std::move(h))
     {
     }
 
     boost::system::error_code open();
-    net::awaitable<void> acceptAll();
+    net::awaitable<void> acceptLoop();
 
     net::io_context& context;
     tcp::acceptor acceptor;
     ServerOptions options;
-    std::shared_ptr<LimitsNow> limits;
+    std::shared_ptr<CurrentLimits> limits;
     Handler handler;
-    std::shared_ptr<Counts> counts = std::make_shared<Counts>();
+    std::shared_ptr<SharedState> state = std::make_shared<SharedState>();
 };
 
 boost::system::error_code Server::Impl::open()
@@ -471,17 +475,17 @@
     return ec;
 }
 
-net::awaitable<void> Server::Impl::acceptAll()
+net::awaitable<void> Server::Impl::acceptLoop()
 {
-    while (!counts->closing) {
-        auto [ec, socket] = co_await acceptor.async_accept(net::make_strand(context), token);
+    while (!state->stopping) {
+        auto [ec, socket] = co_await acceptor.async_accept(net::make_strand(context), completionToken);
         if (ec == net::error::operation_aborted || ec == net::error::bad_descriptor)
             co_return;
-        if (ec || counts->connections >= options.maxConnections)
+        if (ec || state->connections >= options.maxConnections)
             continue;
         const auto executor = socket.get_executor();
-        auto connection = std::make_shared<Connection>(std::move(socket), options, limits, handler, counts);
-        // The options live in this object, which each connection keeps alive.
+        auto connection = std::make_shared<Connection>(std::move(socket), options, limits, handler, state);
+        // The connections refer to the options in this object, so their coroutines keep it alive.
         net::co_spawn(
             executor,
             [connection, self = shared_from_this()]() -> net::awaitable<void> { co_await connection->serve(); },
@@ -506,7 +510,8 @@
     if (const auto ec = impl->open())
         return fail(Errc::Unreachable, "cannot listen on " + impl->options.listen.toString() + ": " + ec.message());
     net::co_spawn(
-        impl->acceptor.get_executor(), [impl]() -> net::awaitable<void> { co_await impl->acceptAll(); }, net::detached);
+        impl->acceptor.get_executor(), [impl]() -> net::awaitable<void> { co_await impl->acceptLoop(); },
+        net::detached);
     return std::unique_ptr<Server>(new Server(pool.sharedContext(), std::move(impl)));
 }
 
@@ -518,7 +523,7 @@
 
 void Server::stopAccepting()
 {
-    m_impl->counts->closing = true;
+    m_impl->state->stopping = true;
     net::post(m_impl->acceptor.get_executor(), [impl = m_impl] {
         boost::system::error_code ec;
         impl->acceptor.close(ec);
@@ -527,7 +532,7 @@
 
 void Server::closeAfterAnswers()
 {
-    m_impl->counts->closingAnswers = true;
+    m_impl->state->keepAliveDisabled = true;
 }
 
 void Server::setLimits(const ServerLimits& limits)
@@ -537,12 +542,12 @@
 
 std::size_t Server::inProgress() const
 {
-    return m_impl->counts->inProgress;
+    return m_impl->state->requestsInProgress;
 }
 
 std::size_t Server::connections() const
 {
-    return m_impl->counts->connections;
+    return m_impl->state->connections;
 }
 
 } // namespace foxtailwheel::http
