--- a/src/foxtailwheel/store/TableClient.cpp
+++ b/src/foxtailwheel/store/TableClient.cpp
@@ -76,19 +76,19 @@
 
     TransactResult HttpTable::classifyResponse(const http::CallResult& result)
     {
-        TransactResult outcome;
+        TransactResult transactResult;
         if (result.end == http::CallEnd::NotSent)
-            return outcome;
-        outcome.end = TransactEnd::Ambiguous;
+            return transactResult;
+        transactResult.end = TransactEnd::Ambiguous;
         if (result.end != http::CallEnd::Complete)
-            return outcome;
+            return transactResult;
         if (result.response.status == 200)
-            outcome.end = TransactEnd::Applied;
-        else if (result.response.status == 409 && parseRows(result.response.body, outcome.conflicts))
-            outcome.end = TransactEnd::ConditionFailed;
+            transactResult.end = TransactEnd::Applied;
+        else if (result.response.status == 409 && parseRows(result.response.body, transactResult.conflicts))
+            transactResult.end = TransactEnd::ConditionFailed;
         else if (result.response.status == 400 || result.response.status == 429 || result.response.status == 503)
-            outcome.end = TransactEnd::NotApplied;
-        return outcome;
+            transactResult.end = TransactEnd::NotApplied;
+        return transactResult;
     }
 
     void HttpTable::transact(Transaction transaction, TimePoint deadline, std::function<void(TransactResult)> done)
@@ -102,9 +102,10 @@
             deadline, deadline, false };
         http::CallEvents events;
         events.onDone = [this, done = std::move(done)](const http::CallResult& result) {
-            const auto outcome = classifyResponse(result);
-            onCallEnded(outcome.end == TransactEnd::Applied || outcome.end == TransactEnd::ConditionFailed);
-            done(outcome);
+            const auto transactResult = classifyResponse(result);
+            onCallEnded(
+                transactResult.end == TransactEnd::Applied || transactResult.end == TransactEnd::ConditionFailed);
+            done(transactResult);
         };
         m_client.start(std::move(call), std::move(events));
     }
@@ -118,11 +119,11 @@
         http::CallRequest call { m_server, { "GET", std::move(target), {}, {} }, deadline, deadline, true };
         http::CallEvents events;
         events.onDone = [this, done = std::move(done)](const http::CallResult& result) {
-            ReadResult outcome;
+            ReadResult readResult;
             const bool succeeded = result.end == http::CallEnd::Complete && result.response.status == 200;
-            outcome.answered = succeeded && parseRows(result.response.body, outcome.rows);
-            onCallEnded(outcome.answered);
-            done(std::move(outcome));
+            readResult.answered = succeeded && parseRows(result.response.body, readResult.rows);
+            onCallEnded(readResult.answered);
+            done(std::move(readResult));
         };
         m_client.start(std::move(call), std::move(events));
     }
