--- a/include/foxtailwheel/backend/ForwardProtocol.h
+++ b/include/foxtailwheel/backend/ForwardProtocol.h
@@ -10,44 +10,44 @@
 
 namespace foxtailwheel::backend {
 
-/// @brief How the head of an answer to a passed-on request is to be taken.
+/// @brief Classification of the response head to a forwarded request.
 enum class HeadVerdict {
-    Pass, ///< It answers this request and is passed on as it is.
-    NotRun, ///< The server did not and will not run the request.
-    Misdirected, ///< Another server has the address.
-    InputGone, ///< A result that the request needs is gone; it did not run.
-    Unusable, ///< It is no whole answer to this request.
+    Pass, ///< A valid response to this request, forwarded to the caller.
+    NotRun, ///< The server did not start the request and will not start it later.
+    Misdirected, ///< Another server listens at this address now.
+    InputGone, ///< A stage result that the request needs has been removed; the request was not started.
+    Unusable, ///< Not a complete response to this request.
 };
 
-/// @brief What came of a batch call.
+/// @brief Outcome of a batch call and the results of its pieces.
 struct BatchAnswer {
     serving::BatchEnd end = serving::BatchEnd::Broken;
     std::vector<serving::PieceResult> results;
 };
 
-/// @brief How callers and backend servers of routes write what they say to each other.
+/// @brief HTTP encoding of the requests and responses that are exchanged with callers and backend servers of routes.
 class ForwardProtocol {
 public:
     virtual ~ForwardProtocol() = default;
 
-    /// @brief Reads a caller's request.
-    /// @return `Errc::InvalidArgument` with a sentence where a header cannot be read.
+    /// @brief Parses a caller's request.
+    /// @return `Errc::InvalidArgument` with a message if a header is malformed.
     virtual Result<serving::ForwardRequest> readRequest(http::Request request) const = 0;
-    /// @brief Writes a passed-on request for its backend server.
+    /// @brief Encodes a forwarded request for its backend server.
     virtual http::Request encode(const serving::SendForward& call) const = 0;
-    /// @brief Judges the head of the answer to `call`.
+    /// @brief Classifies the head of the response to `call`.
     virtual HeadVerdict judge(const serving::SendForward& call, const http::Response& head) const = 0;
-    /// @brief The head as the caller gets it: connection headers are taken off.
+    /// @brief Removes the headers that are not forwarded to the caller, such as hop-by-hop headers.
     virtual http::Response passedOn(http::Response head) const = 0;
-    /// @brief The load that an answer tells.
+    /// @brief Parses the load report of a response; empty if it is missing or malformed.
     virtual std::optional<serving::ToldLoad> load(const http::Response& head) const = 0;
-    /// @brief Writes a call with pieces.
+    /// @brief Encodes a batch call.
     virtual http::Request encodeBatch(const serving::SendBatch& batch) const = 0;
-    /// @brief Reads the answer to a call with pieces.
+    /// @brief Decodes the response to a batch call.
     virtual BatchAnswer decodeBatch(const serving::SendBatch& batch, const http::Response& response) const = 0;
-    /// @brief Writes the release of results.
+    /// @brief Encodes the request that releases stage results.
     virtual http::Request encodeRelease(const std::vector<std::string>& handles) const = 0;
-    /// @brief Adds the hint when to come back to a refusal.
+    /// @brief Adds the time after which the caller may retry to a rejection.
     virtual void addRetryAfter(http::Response& response, Duration retryAfter) const = 0;
 };
 
--- a/include/foxtailwheel/backend/JsonProtocol.h
+++ b/include/foxtailwheel/backend/JsonProtocol.h
@@ -7,7 +7,7 @@
 
 namespace foxtailwheel::backend {
 
-/// @brief What all kinds share: JSON bodies, the deadline header, and how failures are told apart by status.
+/// @brief Common part of all protocols: JSON bodies, the deadline header, and the mapping from status to failure.
 class JsonProtocol : public Protocol {
 public:
     explicit JsonProtocol(std::string target)
@@ -15,24 +15,24 @@
     {
     }
 
-    http::Request encode(const serving::SendCall& call, Duration timeLeft) const override;
-    Answer decode(const http::Response& response) const override;
-    std::unique_ptr<StreamDecoder> streamDecoder() const override { return nullptr; }
+    http::Request encode(const serving::SendCall& call, Duration remainingTime) const override;
+    DecodedResponse decode(const http::Response& response) const override;
+    std::unique_ptr<StreamDecoder> makeStreamDecoder() const override { return nullptr; }
 
 protected:
-    /// @brief The JSON body of a call.
-    virtual nlohmann::json body(const serving::SendCall& call) const;
-    /// @brief The request and the results of the stages before, as one object.
-    static nlohmann::json inputs(const pipeline::StageInput& input);
+    /// @brief Returns the JSON body of a call.
+    virtual nlohmann::json requestBody(const serving::SendCall& call) const;
+    /// @brief Returns the results of the stages that this stage depends on, as a JSON object by service.
+    static nlohmann::json dependencyResults(const pipeline::StageInput& input);
 
 private:
     std::string m_target;
 };
 
-/// @brief Parses JSON, or wraps a text that is none as a string.
-nlohmann::json jsonOrText(const std::string& text);
+/// @brief Parses JSON; returns a text that is not valid JSON as a JSON string.
+nlohmann::json parseJsonOrString(const std::string& text);
 
-/// @brief Sorts a response that is not a success.
-pipeline::CallFailure failureOf(const http::Response& response);
+/// @brief Maps the status and headers of an unsuccessful response to a failure.
+pipeline::CallFailure classifyFailure(const http::Response& response);
 
 } // namespace foxtailwheel::backend
--- a/src/foxtailwheel/backend/EngineProtocol.cpp
+++ b/src/foxtailwheel/backend/EngineProtocol.cpp
@@ -9,19 +9,19 @@
 
     using nlohmann::json;
 
-    constexpr std::size_t longestEventBytes = 1U << 20U;
+    constexpr std::size_t maxEventBytes = 1U << 20U;
     constexpr std::uint64_t defaultMaxTokens = 64;
 
-    /// Reads server-sent events in the usual completions form.
+    /// Decodes server-sent events of the completions API.
     class CompletionsDecoder final : public StreamDecoder {
     public:
         std::vector<StreamEvent> feed(std::string_view chunk) override;
 
     private:
-        void readEvent(const std::string& data, std::vector<StreamEvent>& out);
+        void parseEvent(const std::string& data, std::vector<StreamEvent>& events);
 
         std::string m_buffer;
-        std::uint64_t m_total = 0;
+        std::uint64_t m_totalTokens = 0;
         bool m_finished = false;
     };
 
@@ -34,44 +34,44 @@
             const auto event = m_buffer.substr(at, end - at);
             at = end + 2;
             if (event.starts_with("data: "))
-                readEvent(event.substr(6), events);
+                parseEvent(event.substr(6), events);
         }
         m_buffer.erase(0, at);
-        if (m_buffer.size() > longestEventBytes)
+        if (m_buffer.size() > maxEventBytes)
             events.emplace_back(pipeline::CallFailure::Truncated);
         return events;
     }
 
-    void CompletionsDecoder::readEvent(const std::string& data, std::vector<StreamEvent>& out)
+    void CompletionsDecoder::parseEvent(const std::string& data, std::vector<StreamEvent>& events)
     {
         if (data == "[DONE]") {
-            out.emplace_back(
-                m_finished ? StreamEvent(StreamDone { m_total }) : StreamEvent(pipeline::CallFailure::Truncated));
+            events.emplace_back(
+                m_finished ? StreamEvent(StreamDone { m_totalTokens }) : StreamEvent(pipeline::CallFailure::Truncated));
             return;
         }
         const auto event = json::parse(data, nullptr, false);
         if (!event.is_object() || !event.contains("choices") || !event["choices"].is_array()
             || event["choices"].empty()) {
-            out.emplace_back(pipeline::CallFailure::Failed);
+            events.emplace_back(pipeline::CallFailure::Failed);
             return;
         }
         const auto& choice = event["choices"][0];
         if (choice.contains("finish_reason") && !choice["finish_reason"].is_null()) {
-            m_total = countAt(event.contains("usage") ? event["usage"] : json(), "completion_tokens");
+            m_totalTokens = countAt(event.contains("usage") ? event["usage"] : json(), "completion_tokens");
             m_finished = true;
             return;
         }
         if (!choice.contains("offset") || !choice["offset"].is_number_unsigned()) {
-            out.emplace_back(pipeline::CallFailure::Failed);
+            events.emplace_back(pipeline::CallFailure::Failed);
             return;
         }
         const auto offset = choice["offset"].get<std::uint64_t>();
         auto text = textAt(choice, "text");
-        auto* last = out.empty() ? nullptr : std::get_if<StreamTokens>(&out.back());
+        auto* last = events.empty() ? nullptr : std::get_if<StreamTokens>(&events.back());
         if (last != nullptr && last->offset + last->tokens.size() == offset)
             last->tokens.push_back(std::move(text));
         else
-            out.emplace_back(StreamTokens { offset, { std::move(text) } });
+            events.emplace_back(StreamTokens { offset, { std::move(text) } });
     }
 
     class EngineProtocol final : public JsonProtocol {
@@ -81,16 +81,19 @@
         {
         }
 
-        std::unique_ptr<StreamDecoder> streamDecoder() const override { return std::make_unique<CompletionsDecoder>(); }
+        std::unique_ptr<StreamDecoder> makeStreamDecoder() const override
+        {
+            return std::make_unique<CompletionsDecoder>();
+        }
 
     protected:
-        json body(const serving::SendCall& call) const override
+        json requestBody(const serving::SendCall& call) const override
         {
-            auto request = jsonOrText(*call.call.input.request);
+            auto request = parseJsonOrString(*call.call.input.request);
             json body { { "stream", true }, { "priority", call.priority } };
             body["prompt"] = request.is_object() && request.contains("prompt") ? request["prompt"] : request;
             body["max_tokens"] = countAt(request, "max_tokens", defaultMaxTokens);
-            body["context"] = inputs(call.call.input);
+            body["context"] = dependencyResults(call.call.input);
             if (call.call.resumeFrom > 0)
                 body["resume"] = { { "offset", call.call.resumeFrom }, { "text", call.call.textSoFar } };
             return body;
@@ -99,7 +102,7 @@
 
 } // namespace
 
-std::unique_ptr<Protocol> engineProtocol()
+std::unique_ptr<Protocol> makeEngineProtocol()
 {
     return std::make_unique<EngineProtocol>();
 }
--- a/src/foxtailwheel/backend/EngineProtocol.h
+++ b/src/foxtailwheel/backend/EngineProtocol.h
@@ -4,7 +4,7 @@
 
 namespace foxtailwheel::backend {
 
-/// @brief Protocol of model engines: completions as server-sent events.
-std::unique_ptr<Protocol> engineProtocol();
+/// @brief Returns the protocol of model engines: completions as server-sent events.
+std::unique_ptr<Protocol> makeEngineProtocol();
 
 } // namespace foxtailwheel::backend
--- a/src/foxtailwheel/backend/JsonProtocol.cpp
+++ b/src/foxtailwheel/backend/JsonProtocol.cpp
@@ -4,13 +4,13 @@
 
 using nlohmann::json;
 
-json jsonOrText(const std::string& text)
+json parseJsonOrString(const std::string& text)
 {
     auto value = json::parse(text, nullptr, false);
     return value.is_discarded() ? json(text) : value;
 }
 
-pipeline::CallFailure failureOf(const http::Response& response)
+pipeline::CallFailure classifyFailure(const http::Response& response)
 {
     const bool notStarted = !http::findHeader(response.headers, notStartedHeader).empty();
     if (notStarted && (response.status == 429 || response.status == 503))
@@ -20,33 +20,34 @@
     return pipeline::CallFailure::Failed;
 }
 
-json JsonProtocol::inputs(const pipeline::StageInput& input)
+json JsonProtocol::dependencyResults(const pipeline::StageInput& input)
 {
-    json parts = json::object();
+    json results = json::object();
     for (const auto& it : input.parts)
-        parts[it.service.value()] = jsonOrText(*it.result);
-    return parts;
+        results[it.service.value()] = parseJsonOrString(*it.result);
+    return results;
 }
 
-json JsonProtocol::body(const serving::SendCall& call) const
+json JsonProtocol::requestBody(const serving::SendCall& call) const
 {
-    return { { "request", jsonOrText(*call.call.input.request) }, { "inputs", inputs(call.call.input) } };
+    return { { "request", parseJsonOrString(*call.call.input.request) },
+        { "inputs", dependencyResults(call.call.input) } };
 }
 
-http::Request JsonProtocol::encode(const serving::SendCall& call, Duration timeLeft) const
+http::Request JsonProtocol::encode(const serving::SendCall& call, Duration remainingTime) const
 {
-    const auto milliseconds = std::chrono::duration_cast<std::chrono::milliseconds>(timeLeft).count();
-    http::Request request { "POST", m_target, {}, body(call).dump() };
+    const auto milliseconds = std::chrono::duration_cast<std::chrono::milliseconds>(remainingTime).count();
+    http::Request request { "POST", m_target, {}, requestBody(call).dump() };
     request.headers.push_back({ "Content-Type", "application/json" });
     request.headers.push_back({ "X-Deadline-Ms", std::to_string(milliseconds) });
     request.headers.push_back({ "X-Priority", std::to_string(call.priority) });
     return request;
 }
 
-Answer JsonProtocol::decode(const http::Response& response) const
+DecodedResponse JsonProtocol::decode(const http::Response& response) const
 {
     if (response.status != 200)
-        return failureOf(response);
+        return classifyFailure(response);
     if (json::accept(response.body))
         return pipeline::payloadOf(response.body);
     return pipeline::CallFailure::Truncated;
--- a/src/foxtailwheel/backend/Protocol.cpp
+++ b/src/foxtailwheel/backend/Protocol.cpp
@@ -11,7 +11,7 @@
 
     using nlohmann::json;
 
-    /// A plain service's complete refusal of a request (no stock, card declined) is its answer.
+    /// A complete rejection by a plain service (no stock, card declined) is a result, not a failure.
     class PlainProtocol final : public JsonProtocol {
     public:
         PlainProtocol()
@@ -19,14 +19,14 @@
         {
         }
 
-        Answer decode(const http::Response& response) const override
+        DecodedResponse decode(const http::Response& response) const override
         {
-            auto answer = JsonProtocol::decode(response);
-            const auto* failure = std::get_if<pipeline::CallFailure>(&answer);
+            auto decoded = JsonProtocol::decode(response);
+            const auto* failure = std::get_if<pipeline::CallFailure>(&decoded);
             if (failure == nullptr || *failure != pipeline::CallFailure::Rejected)
-                return answer;
+                return decoded;
             return pipeline::payloadOf(
-                json { { "rejected", response.status }, { "body", jsonOrText(response.body) } }.dump());
+                json { { "rejected", response.status }, { "body", parseJsonOrString(response.body) } }.dump());
         }
     };
 
@@ -38,7 +38,7 @@
             std::make_unique<JsonProtocol>("/v1/encode"),
             std::make_unique<JsonProtocol>("/v1/retrieve"),
             std::make_unique<JsonProtocol>("/v1/rerank"),
-            engineProtocol(),
+            makeEngineProtocol(),
             std::make_unique<PlainProtocol>(),
         };
     }
