--- a/include/foxtailwheel/daemon/ForwardService.h
+++ b/include/foxtailwheel/daemon/ForwardService.h
@@ -15,37 +15,39 @@
 
 namespace foxtailwheel::daemon {
 
-/// @brief Carries out what a `Forwarder` decides: callers' requests in, calls to backend servers out.
+/// @brief Executes the actions of a `Forwarder`: receives callers' requests and sends calls to backend servers.
 ///
-/// Runs on the one thread of its pool, as do all callbacks that it gives out.
+/// Runs on the single thread of its pool, as do all callbacks that it registers.
 class ForwardService {
 public:
-    /// @param options The service adds its own log to them.
+    /// @param options Options of the forwarder; the service sets the decision log.
     ForwardService(http::IoPool& pool, http::Client& client, const Clock& clock,
         const backend::ForwardProtocol& protocol, telemetry::Metrics& metrics, serving::ForwarderOptions options);
     ~ForwardService();
     ForwardService(const ForwardService&) = delete;
     ForwardService& operator=(const ForwardService&) = delete;
 
-    /// @brief Takes a caller's request.
+    /// @brief Handles a caller's request; a malformed one is answered with status 400.
     void handle(http::Request request, const std::shared_ptr<http::Responder>& responder);
-    /// @brief Puts a configuration in force.
+    /// @brief Activates a configuration.
     void configure(std::shared_ptr<const config::RouteTable> table);
-    /// @brief Takes the announced backend servers.
+    /// @brief Sets the announced backend servers.
     void setServers(const std::vector<serving::AnnouncedServer>& servers);
-    /// @brief The credentials in force were current at `asOf`.
+    /// @brief Confirms that the active credentials were current at `asOf`.
     void confirmCredentials(TimePoint asOf);
-    /// @brief Takes the live instances, this one included, those among them that may own services, and those that are
-    /// gone.
-    void setMembers(
-        const std::vector<InstanceId>& live, const std::vector<InstanceId>& owners, const std::set<InstanceId>& gone);
-    /// @brief Another instance has said something about pieces.
+    /// @brief Sets the cluster members.
+    /// @param live Live instances, including this one.
+    /// @param owners Live instances that may own services.
+    /// @param unavailable Known instances that are suspected or dead.
+    void setMembers(const std::vector<InstanceId>& live, const std::vector<InstanceId>& owners,
+        const std::set<InstanceId>& unavailable);
+    /// @brief Handles a message about pieces from another instance.
     void onPeer(const InstanceId& from, const serving::PieceMessage& message);
-    /// @brief What was asked of another instance may be lost.
+    /// @brief Handles the loss of a connection to another instance: requests sent to it may be lost.
     void onPeerLost(const InstanceId& instance);
-    /// @brief Sets how messages to other instances are sent.
-    void setTell(std::function<void(const InstanceId&, const serving::PieceMessage&)> tell);
-    /// @brief From now on every new request is refused; those in progress go on.
+    /// @brief Sets the function that sends messages to other instances.
+    void setTell(std::function<void(const InstanceId&, const serving::PieceMessage&)> send);
+    /// @brief Rejects all new requests; requests in progress continue.
     void stopAccepting();
     serving::ForwarderStatus status() const;
 
--- a/include/foxtailwheel/daemon/Instance.h
+++ b/include/foxtailwheel/daemon/Instance.h
@@ -9,16 +9,16 @@
 
 namespace foxtailwheel::daemon {
 
-/// @brief One running instance: composes the decision libraries with input and output.
+/// @brief A running instance: connects the decision libraries, which do no I/O, to the network and the store.
 class Instance {
 public:
-    /// @brief Starts an instance; it serves until `waitUntilStopped` returns.
+    /// @brief Starts an instance, which runs until `waitUntilStopped` returns.
     static Result<std::unique_ptr<Instance>> start(config::Settings settings);
     virtual ~Instance() = default;
-    /// @brief Begins a graceful shutdown; the second call cuts what is still in progress.
+    /// @brief Starts a graceful shutdown; a second call aborts the requests in progress.
     virtual void shutDown() = 0;
-    /// @brief Waits for the end of the instance's life.
-    /// @return Requests that were cut off.
+    /// @brief Blocks until the instance has stopped.
+    /// @return Number of aborted requests.
     virtual std::size_t waitUntilStopped() = 0;
     virtual std::uint16_t callerPort() const = 0;
     virtual std::uint16_t operatorPort() const = 0;
--- a/include/foxtailwheel/daemon/Lifecycle.h
+++ b/include/foxtailwheel/daemon/Lifecycle.h
@@ -4,25 +4,25 @@
 
 namespace foxtailwheel::daemon {
 
-/// @brief State of an instance's life.
-enum class LifeState {
-    Starting, ///< No configuration yet; not ready.
+/// @brief Lifecycle state of an instance.
+enum class LifecycleState {
+    Starting, ///< No configuration is active yet; not ready.
     Serving,
-    Announcing, ///< Not ready any more, but still taking what the balancer sends.
-    Draining, ///< Nothing new; runs in progress end.
+    LameDuck, ///< Not ready, but still accepts the requests that the load balancer sends until it notices.
+    Draining, ///< Rejects new requests; runs in progress continue.
     Stopped,
 };
 
-/// @brief What happens in an instance's life.
-enum class LifeEvent {
-    CaughtUp, ///< The configuration is in force.
-    ShutdownAsked,
-    BalancerInformed, ///< The balancer had time to see that the instance is not ready.
-    LastRunEnded,
-    DrainCut, ///< The limit passed or a second signal came.
+/// @brief Event that may change the lifecycle state.
+enum class LifecycleEvent {
+    ConfigReady, ///< The latest configuration is active.
+    ShutdownRequested,
+    BalancerDelayElapsed, ///< The load balancer had time to see that the instance is not ready.
+    DrainCompleted, ///< No request, run or pending claim record remains.
+    DrainAborted, ///< The drain timeout passed or a second signal was received.
 };
 
-/// @brief State machine of an instance's life; not thread-safe.
+/// @brief State machine of an instance's lifecycle; not thread-safe.
 class Lifecycle {
 public:
     Lifecycle();
@@ -30,11 +30,11 @@
     Lifecycle(const Lifecycle&) = delete;
     Lifecycle& operator=(const Lifecycle&) = delete;
 
-    /// @brief Takes an event; false where it does not fit the state.
-    bool process(LifeEvent event);
-    LifeState state() const;
-    /// @brief True where the balancer should send requests here.
-    bool ready() const { return state() == LifeState::Serving; }
+    /// @brief Processes an event; returns false if the current state has no transition for it.
+    bool process(LifecycleEvent event);
+    LifecycleState state() const;
+    /// @brief True if the load balancer should send requests to this instance.
+    bool ready() const { return state() == LifecycleState::Serving; }
 
 private:
     struct Machine;
--- a/include/foxtailwheel/daemon/PeerLink.h
+++ b/include/foxtailwheel/daemon/PeerLink.h
@@ -15,39 +15,39 @@
 
 namespace foxtailwheel::daemon {
 
-/// @brief What a link tells its owner; all on the pool's one thread.
+/// @brief Callbacks of a peer link; all run on the single thread of its pool.
 struct PeerLinkEvents {
-    /// @brief The instances that may be given work, this one included, those of them that are strong enough to own
-    /// services, and those that are gone.
-    std::function<void(
-        const std::vector<InstanceId>& live, const std::vector<InstanceId>& owners, const std::set<InstanceId>& gone)>
+    /// @brief Called when the members change, with the instances that may be given work (including this one), those of
+    /// them with enough cores to own services, and those that are suspected or dead.
+    std::function<void(const std::vector<InstanceId>& live, const std::vector<InstanceId>& owners,
+        const std::set<InstanceId>& unavailable)>
         members;
     std::function<void(const InstanceId& from, const serving::PieceMessage& message)> pieces;
-    std::function<void(const InstanceId& instance)> connectionLost; ///< What it was asked for may be lost with it.
+    std::function<void(const InstanceId& instance)> connectionLost; ///< Requests sent to it may be lost.
     std::function<void(const control::TableNews& news)> tableNews;
-    std::function<void(bool)> pollerChanged; ///< Whether this instance asks the store for its zone.
+    std::function<void(bool)> pollerChanged; ///< Whether this instance polls the store for its zone.
 };
 
-/// @brief This instance among the others: membership by gossip, and messages about pieces.
+/// @brief Connection of this instance to the others: membership by gossip, and messages about pieces.
 class PeerLink {
 public:
-    /// @param self Address that it listens on and its zone; the incarnation is set from the calendar.
-    /// @param key Secret that all instances share.
+    /// @param self Id, listen address, zone and cores of this instance; the incarnation is set from the wall clock.
+    /// @param key Shared secret of all instances.
     static Result<std::unique_ptr<PeerLink>> open(http::IoPool& pool, const Clock& clock, membership::Member self,
         std::string key, std::uint64_t seed, PeerLinkEvents events);
     ~PeerLink();
     PeerLink(const PeerLink&) = delete;
     PeerLink& operator=(const PeerLink&) = delete;
 
-    /// @brief Instances that were found elsewhere.
+    /// @brief Adds instances that were discovered by other means, unless they are known already.
     void introduce(const std::vector<membership::Member>& members);
-    /// @brief Sends a message about pieces; dropped where the instance is not known or cannot be reached.
+    /// @brief Sends a message about pieces; drops it if the instance is unknown or unreachable.
     void tell(const InstanceId& to, const serving::PieceMessage& message);
-    /// @brief Passes an answer of the store on to the live instances of this zone.
+    /// @brief Forwards a store response to the other live instances of this zone.
     void tellZone(const control::TableNews& news);
-    /// @brief Tells the others that this instance is leaving.
+    /// @brief Announces to the other instances that this one is leaving.
     void leave();
-    /// @brief All instances that are known.
+    /// @brief Returns all known instances.
     std::vector<membership::Member> members() const;
 
 private:
--- a/src/foxtailwheel/daemon/CallDriver.cpp
+++ b/src/foxtailwheel/daemon/CallDriver.cpp
@@ -12,7 +12,7 @@
 
     constexpr std::string_view leavingHeader = "X-Leaving";
 
-    CallFailure failureOf(http::CallEnd end)
+    CallFailure toCallFailure(http::CallEnd end)
     {
         switch (end) {
         case http::CallEnd::NotSent:
@@ -29,128 +29,128 @@
 
 } // namespace
 
-/// One call in progress. Its events run one after another on the call's strand.
-struct CallDriver::Open {
+/// A call in progress. Its callbacks run sequentially on the call's strand.
+struct CallDriver::ActiveCall {
     pipeline::AttemptId id;
     const backend::Protocol* protocol = nullptr;
     std::unique_ptr<backend::StreamDecoder> decoder;
     ServiceId service;
     BackendServerId server;
-    std::shared_ptr<http::Call> call;
+    std::shared_ptr<http::Call> httpCall;
     bool ended = false;
 };
 
-CallDriver::CallDriver(http::Client& client, const Clock& clock, serving::Dispatcher& dispatcher, Perform perform,
-    std::function<void(const BackendServerId&)> serverLeaving)
+CallDriver::CallDriver(http::Client& client, const Clock& clock, serving::Dispatcher& dispatcher,
+    ActionExecutor execute, std::function<void(const BackendServerId&)> onServerLeaving)
     : m_client(client)
     , m_clock(clock)
     , m_dispatcher(dispatcher)
-    , m_perform(std::move(perform))
-    , m_serverLeaving(std::move(serverLeaving))
+    , m_execute(std::move(execute))
+    , m_onServerLeaving(std::move(onServerLeaving))
 {
 }
 
 void CallDriver::send(serving::SendCall call)
 {
-    auto open = std::make_shared<Open>();
-    open->id = call.call.id;
-    open->protocol = &backend::protocolFor(call.call.stage->kind);
-    open->decoder = open->protocol->streamDecoder();
-    open->service = call.call.stage->service;
-    open->server = call.server.id;
-    auto request = open->protocol->encode(call, call.call.deadline - m_clock.now());
+    auto active = std::make_shared<ActiveCall>();
+    active->id = call.call.id;
+    active->protocol = &backend::protocolFor(call.call.stage->kind);
+    active->decoder = active->protocol->makeStreamDecoder();
+    active->service = call.call.stage->service;
+    active->server = call.server.id;
+    auto request = active->protocol->encode(call, call.call.deadline - m_clock.now());
     if (!call.idempotencyKey.empty())
         request.headers.push_back({ "Idempotency-Key", call.idempotencyKey });
     http::CallEvents events;
-    events.onFirstByte = [this, open] { m_dispatcher.onSent(open->id, m_clock.now()); };
-    events.onHead = [this, open](const http::Response& head) { onHead(open, head); };
-    if (open->decoder)
-        events.onData = [this, open](std::string_view chunk) { onData(open, chunk); };
-    events.onDone = [this, open](const http::CallResult& result) { onDone(open, result); };
-    http::CallRequest out { { call.server.host, call.server.port }, std::move(request), call.call.sendBy,
+    events.onFirstByte = [this, active] { m_dispatcher.onSent(active->id, m_clock.now()); };
+    events.onHead = [this, active](const http::Response& head) { onHead(active, head); };
+    if (active->decoder)
+        events.onData = [this, active](std::string_view chunk) { onData(active, chunk); };
+    events.onDone = [this, active](const http::CallResult& result) { onDone(active, result); };
+    http::CallRequest httpRequest { { call.server.host, call.server.port }, std::move(request), call.call.sendBy,
         call.call.giveUpAt, call.call.stage->idempotent };
     const std::lock_guard lock(m_mutex);
-    m_open.emplace(open->id, open);
-    open->call = m_client.start(std::move(out), std::move(events));
+    m_activeCalls.emplace(active->id, active);
+    active->httpCall = m_client.start(std::move(httpRequest), std::move(events));
 }
 
-void CallDriver::stop(const serving::StopCall& stop)
+void CallDriver::cancel(const serving::StopCall& stop)
 {
-    std::shared_ptr<http::Call> call;
+    std::shared_ptr<http::Call> httpCall;
     {
         const std::lock_guard lock(m_mutex);
-        const auto it = m_open.find(stop.id);
-        if (it == m_open.end())
+        const auto it = m_activeCalls.find(stop.id);
+        if (it == m_activeCalls.end())
             return;
-        call = it->second->call;
+        httpCall = it->second->httpCall;
     }
-    call->cancel();
+    httpCall->cancel();
 }
 
-void CallDriver::onHead(const std::shared_ptr<Open>& open, const http::Response& head)
+void CallDriver::onHead(const std::shared_ptr<ActiveCall>& call, const http::Response& head)
 {
     if (!http::findHeader(head.headers, leavingHeader).empty())
-        m_serverLeaving(open->server);
+        m_onServerLeaving(call->server);
     routing::LoadReport report;
     report.measuredAt = m_clock.now();
-    if (readLoadHeader(head.headers, report))
-        m_dispatcher.onLoadReport(open->service, open->server, report);
+    if (parseLoadHeader(head.headers, report))
+        m_dispatcher.onLoadReport(call->service, call->server, report);
 }
 
-void CallDriver::fail(const std::shared_ptr<Open>& open, CallFailure failure)
+void CallDriver::fail(const std::shared_ptr<ActiveCall>& call, CallFailure failure)
 {
-    open->ended = true;
+    call->ended = true;
     serving::Actions actions;
-    m_dispatcher.onFailure(open->id, failure, m_clock.now(), actions);
-    m_perform(std::move(actions));
+    m_dispatcher.onFailure(call->id, failure, m_clock.now(), actions);
+    m_execute(std::move(actions));
 }
 
-void CallDriver::onData(const std::shared_ptr<Open>& open, std::string_view chunk)
+void CallDriver::onData(const std::shared_ptr<ActiveCall>& call, std::string_view chunk)
 {
-    for (const auto& event : open->decoder->feed(chunk)) {
-        if (open->ended)
+    for (const auto& event : call->decoder->feed(chunk)) {
+        if (call->ended)
             return;
         serving::Actions actions;
         if (const auto* tokens = std::get_if<backend::StreamTokens>(&event)) {
-            m_dispatcher.onTokens(open->id, tokens->offset, tokens->tokens, m_clock.now(), actions);
+            m_dispatcher.onTokens(call->id, tokens->offset, tokens->tokens, m_clock.now(), actions);
         } else if (const auto* done = std::get_if<backend::StreamDone>(&event)) {
-            open->ended = true;
-            m_dispatcher.onStreamEnd(open->id, done->total, m_clock.now(), actions);
+            call->ended = true;
+            m_dispatcher.onStreamEnd(call->id, done->total, m_clock.now(), actions);
         } else {
-            fail(open, std::get<CallFailure>(event));
+            fail(call, std::get<CallFailure>(event));
         }
-        m_perform(std::move(actions));
+        m_execute(std::move(actions));
     }
 }
 
-void CallDriver::onDone(const std::shared_ptr<Open>& open, const http::CallResult& result)
+void CallDriver::onDone(const std::shared_ptr<ActiveCall>& call, const http::CallResult& result)
 {
     {
         const std::lock_guard lock(m_mutex);
-        m_open.erase(open->id);
+        m_activeCalls.erase(call->id);
     }
-    open->call.reset();
-    if (open->ended)
+    call->httpCall.reset();
+    if (call->ended)
         return;
     if (result.end != http::CallEnd::Complete) {
         telemetry::logDebug("call_failed",
-            { { "run", std::to_string(open->id.run.value()) }, { "service", open->service.value() },
-                { "server", open->server.value() }, { "detail", result.detail } });
-        fail(open, failureOf(result.end));
+            { { "run", std::to_string(call->id.run.value()) }, { "service", call->service.value() },
+                { "server", call->server.value() }, { "detail", result.detail } });
+        fail(call, toCallFailure(result.end));
         return;
     }
-    if (open->decoder && result.response.status == 200) {
-        fail(open, CallFailure::Truncated);
+    if (call->decoder && result.response.status == 200) {
+        fail(call, CallFailure::Truncated);
         return;
     }
-    const auto answer = open->protocol->decode(result.response);
-    if (const auto* failure = std::get_if<CallFailure>(&answer)) {
-        fail(open, *failure);
+    const auto decoded = call->protocol->decode(result.response);
+    if (const auto* failure = std::get_if<CallFailure>(&decoded)) {
+        fail(call, *failure);
         return;
     }
     serving::Actions actions;
-    m_dispatcher.onAnswer(open->id, std::get<pipeline::Payload>(answer), m_clock.now(), actions);
-    m_perform(std::move(actions));
+    m_dispatcher.onAnswer(call->id, std::get<pipeline::Payload>(decoded), m_clock.now(), actions);
+    m_execute(std::move(actions));
 }
 
 } // namespace foxtailwheel::daemon
--- a/src/foxtailwheel/daemon/CallDriver.h
+++ b/src/foxtailwheel/daemon/CallDriver.h
@@ -11,34 +11,35 @@
 
 namespace foxtailwheel::daemon {
 
-/// @brief Carries out actions.
-using Perform = std::function<void(serving::Actions)>;
+/// @brief Executes the actions that the dispatcher returned.
+using ActionExecutor = std::function<void(serving::Actions)>;
 
-/// @brief Makes the calls to backend servers that the dispatcher asks for, and reports back.
+/// @brief Sends the dispatcher's calls to backend servers and reports their results to the dispatcher.
 class CallDriver {
 public:
-    /// @param serverLeaving Told when a server says by the header `X-Leaving` that it takes no more work soon.
-    CallDriver(http::Client& client, const Clock& clock, serving::Dispatcher& dispatcher, Perform perform,
-        std::function<void(const BackendServerId&)> serverLeaving);
+    /// @param onServerLeaving Called when a response has the header `X-Leaving`: the server will soon accept no more
+    /// work.
+    CallDriver(http::Client& client, const Clock& clock, serving::Dispatcher& dispatcher, ActionExecutor execute,
+        std::function<void(const BackendServerId&)> onServerLeaving);
 
     void send(serving::SendCall call);
-    void stop(const serving::StopCall& stop);
+    void cancel(const serving::StopCall& stop);
 
 private:
-    struct Open;
+    struct ActiveCall;
 
-    void onData(const std::shared_ptr<Open>& open, std::string_view chunk);
-    void onHead(const std::shared_ptr<Open>& open, const http::Response& head);
-    void onDone(const std::shared_ptr<Open>& open, const http::CallResult& result);
-    void fail(const std::shared_ptr<Open>& open, pipeline::CallFailure failure);
+    void onData(const std::shared_ptr<ActiveCall>& call, std::string_view chunk);
+    void onHead(const std::shared_ptr<ActiveCall>& call, const http::Response& head);
+    void onDone(const std::shared_ptr<ActiveCall>& call, const http::CallResult& result);
+    void fail(const std::shared_ptr<ActiveCall>& call, pipeline::CallFailure failure);
 
     http::Client& m_client;
     const Clock& m_clock;
     serving::Dispatcher& m_dispatcher;
-    Perform m_perform;
-    std::function<void(const BackendServerId&)> m_serverLeaving;
+    ActionExecutor m_execute;
+    std::function<void(const BackendServerId&)> m_onServerLeaving;
     std::mutex m_mutex;
-    std::map<pipeline::AttemptId, std::shared_ptr<Open>> m_open;
+    std::map<pipeline::AttemptId, std::shared_ptr<ActiveCall>> m_activeCalls;
 };
 
 } // namespace foxtailwheel::daemon
--- a/src/foxtailwheel/daemon/CallerApi.cpp
+++ b/src/foxtailwheel/daemon/CallerApi.cpp
@@ -12,7 +12,7 @@
 
     using nlohmann::json;
 
-    std::string tokenEvent(const pipeline::EmitTokens& tokens)
+    std::string encodeTokenEvent(const pipeline::EmitTokens& tokens)
     {
         std::string text;
         for (const auto& it : tokens.tokens)
@@ -21,7 +21,7 @@
         return "event: tokens\ndata: " + data.dump(-1, ' ', false, json::error_handler_t::replace) + "\n\n";
     }
 
-    http::Headers headersOf(const pipeline::Outcome& outcome)
+    http::Headers replyHeaders(const pipeline::Outcome& outcome)
     {
         http::Headers headers { { "Content-Type", "application/json" } };
         if (outcome.retryAfter > Duration {})
@@ -32,11 +32,12 @@
 
 } // namespace
 
-CallerApi::CallerApi(const Clock& clock, serving::Dispatcher& dispatcher, telemetry::Metrics& metrics, Perform perform)
+CallerApi::CallerApi(
+    const Clock& clock, serving::Dispatcher& dispatcher, telemetry::Metrics& metrics, ActionExecutor execute)
     : m_clock(clock)
     , m_dispatcher(dispatcher)
     , m_metrics(metrics)
-    , m_perform(std::move(perform))
+    , m_execute(std::move(execute))
 {
 }
 
@@ -50,22 +51,22 @@
     else if (path == "/metrics")
         responder->respond({ 200, { { "Content-Type", "text/plain; version=0.0.4" } }, m_metrics.text() });
     else
-        run(request, responder);
+        handleRun(request, responder);
 }
 
-void CallerApi::run(const http::Request& request, const std::shared_ptr<http::Responder>& responder)
+void CallerApi::handleRun(const http::Request& request, const std::shared_ptr<http::Responder>& responder)
 {
     const auto catalog = m_dispatcher.catalog();
-    auto read = readCallerRequest(request, catalog.get());
-    if (const auto* fault = std::get_if<CallerFault>(&read)) {
-        m_metrics.count("foxtailwheel_faulty_requests_total", { { "code", fault->code } });
-        responder->respond(faultResponse(*fault));
+    auto parsed = parseCallerRequest(request, catalog.get());
+    if (const auto* error = std::get_if<RequestError>(&parsed)) {
+        m_metrics.count("foxtailwheel_faulty_requests_total", { { "code", error->code } });
+        responder->respond(requestErrorResponse(*error));
         return;
     }
-    begin(std::move(std::get<serving::SubmitRequest>(read)), responder);
+    startRun(std::move(std::get<serving::SubmitRequest>(parsed)), responder);
 }
 
-void CallerApi::begin(serving::SubmitRequest request, const std::shared_ptr<http::Responder>& responder)
+void CallerApi::startRun(serving::SubmitRequest request, const std::shared_ptr<http::Responder>& responder)
 {
     const auto id = m_dispatcher.newRun();
     {
@@ -73,32 +74,32 @@
         auto session = std::make_shared<Session>();
         session->responder = responder;
         session->pipeline = request.pipeline;
-        session->since = m_clock.now();
+        session->startedAt = m_clock.now();
         m_sessions.emplace(id, std::move(session));
     }
-    responder->onGone([this, id] { callerGone(id); });
+    responder->onGone([this, id] { onCallerDisconnected(id); });
     serving::Actions actions;
     m_dispatcher.submit(id, std::move(request), m_clock.now(), actions);
-    m_perform(std::move(actions));
+    m_execute(std::move(actions));
 }
 
-void CallerApi::callerGone(RunId run)
+void CallerApi::onCallerDisconnected(RunId run)
 {
     serving::Actions actions;
     m_dispatcher.onCallerLeft(run, m_clock.now(), actions);
-    m_perform(std::move(actions));
+    m_execute(std::move(actions));
 }
 
-bool CallerApi::write(Session& session, const pipeline::EmitTokens& tokens)
+bool CallerApi::writeTokens(Session& session, const pipeline::EmitTokens& tokens)
 {
-    if (!std::exchange(session.started, true)) {
+    if (!std::exchange(session.streamStarted, true)) {
         m_metrics.time("foxtailwheel_first_token_seconds", { { "pipeline", session.pipeline.value() } },
-            m_clock.now() - session.since);
+            m_clock.now() - session.startedAt);
         session.responder->beginStream(
             { 200, { { "Content-Type", "text/event-stream" }, { "Cache-Control", "no-store" } }, {} });
     }
     session.nextOffset = tokens.offset + tokens.tokens.size();
-    return session.responder->write(tokenEvent(tokens));
+    return session.responder->write(encodeTokenEvent(tokens));
 }
 
 void CallerApi::emit(const pipeline::EmitTokens& tokens)
@@ -106,18 +107,18 @@
     const auto session = find(tokens.run);
     if (!session)
         return;
-    bool taken = true;
+    bool writable = true;
     {
         const std::lock_guard lock(session->mutex);
-        session->early.emplace(tokens.offset, tokens);
-        for (auto it = session->early.begin();
-             taken && it != session->early.end() && it->first == session->nextOffset;) {
-            taken = write(*session, it->second);
-            it = session->early.erase(it);
+        session->pendingTokens.emplace(tokens.offset, tokens);
+        for (auto it = session->pendingTokens.begin();
+             writable && it != session->pendingTokens.end() && it->first == session->nextOffset;) {
+            writable = writeTokens(*session, it->second);
+            it = session->pendingTokens.erase(it);
         }
     }
-    if (!taken)
-        callerGone(tokens.run);
+    if (!writable)
+        onCallerDisconnected(tokens.run);
 }
 
 std::shared_ptr<CallerApi::Session> CallerApi::find(RunId run) const
@@ -127,14 +128,14 @@
     return it == m_sessions.end() ? nullptr : it->second;
 }
 
-void CallerApi::count(const serving::Reply& reply, const Session& session)
+void CallerApi::recordMetrics(const serving::Reply& reply, const Session& session)
 {
     const std::string outcome(toString(reply.outcome.kind));
     const std::string reason(toString(reply.outcome.reason));
     m_metrics.count("foxtailwheel_requests_total",
         { { "pipeline", session.pipeline.value() }, { "outcome", outcome }, { "reason", reason } });
-    m_metrics.time(
-        "foxtailwheel_request_seconds", { { "pipeline", session.pipeline.value() } }, m_clock.now() - session.since);
+    m_metrics.time("foxtailwheel_request_seconds", { { "pipeline", session.pipeline.value() } },
+        m_clock.now() - session.startedAt);
     for (const auto& it : reply.costs) {
         const telemetry::Labels labels { { "service", it.service.value() } };
         m_metrics.count("foxtailwheel_stage_attempts_total", labels, it.attempts);
@@ -154,16 +155,17 @@
     const auto session = find(reply.run);
     if (!session)
         return;
-    count(reply, *session);
+    recordMetrics(reply, *session);
     const bool answered = reply.outcome.kind == pipeline::OutcomeKind::Answered;
     {
         const std::lock_guard lock(session->mutex);
-        if (session->started) {
+        if (session->streamStarted) {
             session->responder->write(
                 std::string(answered ? "event: done" : "event: error") + "\ndata: " + replyBody(reply, false) + "\n\n");
             session->responder->endStream();
         } else {
-            session->responder->respond({ statusOf(reply.outcome), headersOf(reply.outcome), replyBody(reply, true) });
+            session->responder->respond(
+                { httpStatusOf(reply.outcome), replyHeaders(reply.outcome), replyBody(reply, true) });
         }
     }
     const std::lock_guard lock(m_mutex);
--- a/src/foxtailwheel/daemon/CallerRequest.cpp
+++ b/src/foxtailwheel/daemon/CallerRequest.cpp
@@ -14,19 +14,19 @@
     using pipeline::OutcomeKind;
     using pipeline::Reason;
 
-    constexpr std::string_view runsPrefix = "/v1/pipelines/";
-    constexpr std::string_view runsSuffix = "/runs";
-    constexpr std::size_t longestKey = 255;
-    constexpr std::size_t prefixBytes = 256;
+    constexpr std::string_view pathPrefix = "/v1/pipelines/";
+    constexpr std::string_view pathSuffix = "/runs";
+    constexpr std::size_t maxIdempotencyKeyBytes = 255;
+    constexpr std::size_t promptPrefixBytes = 256;
 
-    bool readPipeline(const http::Request& request, PipelineId& id)
+    bool parsePipelinePath(const http::Request& request, PipelineId& id)
     {
         const auto path = request.path();
-        if (!path.starts_with(runsPrefix) || !path.ends_with(runsSuffix)
-            || path.size() <= runsPrefix.size() + runsSuffix.size())
+        if (!path.starts_with(pathPrefix) || !path.ends_with(pathSuffix)
+            || path.size() <= pathPrefix.size() + pathSuffix.size())
             return false;
         id = PipelineId(
-            std::string(path.substr(runsPrefix.size(), path.size() - runsPrefix.size() - runsSuffix.size())));
+            std::string(path.substr(pathPrefix.size(), path.size() - pathPrefix.size() - pathSuffix.size())));
         return true;
     }
 
@@ -40,80 +40,82 @@
         return it == catalog.credentials.end() ? nullptr : it->second;
     }
 
-    bool validKey(std::string_view key)
+    bool isValidIdempotencyKey(std::string_view key)
     {
         const auto visible = [](unsigned char c) { return c > ' ' && c < 127; };
-        return !key.empty() && key.size() <= longestKey && std::all_of(key.begin(), key.end(), visible);
+        return !key.empty() && key.size() <= maxIdempotencyKeyBytes && std::all_of(key.begin(), key.end(), visible);
     }
 
-    /// Reads the optional headers; returns what is wrong, if anything.
-    std::optional<CallerFault> readHeaders(
+    /// Parses the optional headers; returns the first error, if any.
+    std::optional<RequestError> parseHeaders(
         const http::Request& request, const pipeline::Plan& plan, serving::SubmitRequest& out)
     {
         const auto deadline = http::findHeader(request.headers, "X-Deadline");
         if (!deadline.empty()) {
-            const auto limit = config::parseDuration(deadline);
-            if (!limit.has_value() || limit.value() <= Duration {})
-                return CallerFault { 400, "bad_deadline", "X-Deadline must be a duration such as 1500ms" };
-            out.timeLimit = limit.value();
+            const auto timeLimit = config::parseDuration(deadline);
+            if (!timeLimit.has_value() || timeLimit.value() <= Duration {})
+                return RequestError { 400, "bad_deadline", "X-Deadline must be a duration such as 1500ms" };
+            out.timeLimit = timeLimit.value();
         }
         const auto key = http::findHeader(request.headers, "Idempotency-Key");
-        if (!key.empty() && !validKey(key))
-            return CallerFault { 400, "bad_idempotency_key",
+        if (!key.empty() && !isValidIdempotencyKey(key))
+            return RequestError { 400, "bad_idempotency_key",
                 "Idempotency-Key must be 1 to 255 visible ASCII characters" };
         if (!key.empty())
             out.key = IdempotencyKey(std::string(key));
         if (plan.hasEffect() && !out.key)
-            return CallerFault { 400, "key_missing", "this pipeline has an effect: send an Idempotency-Key" };
+            return RequestError { 400, "key_missing",
+                "this pipeline has side effects: an Idempotency-Key is required" };
         return std::nullopt;
     }
 
 } // namespace
 
-std::variant<serving::SubmitRequest, CallerFault> readCallerRequest(
+std::variant<serving::SubmitRequest, RequestError> parseCallerRequest(
     const http::Request& request, const serving::Catalog* catalog)
 {
     serving::SubmitRequest out;
-    if (!readPipeline(request, out.pipeline))
-        return CallerFault { 404, "unknown_path", "use POST /v1/pipelines/NAME/runs" };
+    if (!parsePipelinePath(request, out.pipeline))
+        return RequestError { 404, "unknown_path", "use POST /v1/pipelines/NAME/runs" };
     if (request.method != "POST")
-        return CallerFault { 405, "method_not_allowed", "use POST" };
+        return RequestError { 405, "method_not_allowed", "use POST" };
     if (catalog == nullptr)
-        return CallerFault { 503, "not_ready", "no configuration is in force yet" };
+        return RequestError { 503, "not_ready", "no configuration is active yet" };
     const auto* account = authenticate(request, *catalog);
     if (account == nullptr)
-        return CallerFault { 401, "unauthorized", "send the account's credential as `Authorization: Bearer`" };
+        return RequestError { 401, "unauthorized", "send the account's credential as `Authorization: Bearer`" };
     out.account = account->id;
     const auto plan = catalog->plans.find(out.pipeline);
     if (plan == catalog->plans.end())
-        return CallerFault { 404, "unknown_pipeline", "no pipeline '" + out.pipeline.value() + "' is declared" };
+        return RequestError { 404, "unknown_pipeline", "no pipeline '" + out.pipeline.value() + "' is declared" };
     const auto body = json::parse(request.body, nullptr, false);
     if (!body.is_object())
-        return CallerFault { 400, "malformed_json", "the body must be a JSON object" };
+        return RequestError { 400, "malformed_json", "the body must be a JSON object" };
     if (body.contains("max_tokens") && !body["max_tokens"].is_number_unsigned())
-        return CallerFault { 400, "bad_max_tokens", "max_tokens must be a whole number" };
+        return RequestError { 400, "bad_max_tokens", "max_tokens must be a non-negative integer" };
     out.stream = http::findHeader(request.headers, "Accept").find("text/event-stream") != std::string_view::npos;
     out.body = pipeline::payloadOf(request.body);
     if (body.contains("prompt"))
-        out.prefix = hashOf(body["prompt"].dump().substr(0, prefixBytes));
-    if (const auto fault = readHeaders(request, *plan->second, out))
-        return *fault;
+        out.prefix = hashOf(body["prompt"].dump().substr(0, promptPrefixBytes));
+    if (const auto error = parseHeaders(request, *plan->second, out))
+        return *error;
     return out;
 }
 
-http::Response faultResponse(const CallerFault& fault)
+http::Response requestErrorResponse(const RequestError& error)
 {
-    const json body { { "outcome", "not_run" }, { "reason", fault.code }, { "message", fault.message } };
-    return { fault.status, { { "Content-Type", "application/json" } }, body.dump() };
+    const json body { { "outcome", "not_run" }, { "reason", error.code }, { "message", error.message } };
+    return { error.status, { { "Content-Type", "application/json" } }, body.dump() };
 }
 
-unsigned statusOf(const pipeline::Outcome& outcome)
+unsigned httpStatusOf(const pipeline::Outcome& outcome)
 {
     if (outcome.kind == OutcomeKind::Answered)
         return 200;
     if (outcome.reason == Reason::InProgress)
         return 409;
-    // Balancers repeat some 502, 503 and 504 by themselves, so what may have run is told by 500.
+    // Load balancers retry some 502, 503 and 504 responses on their own; 500 keeps them from retrying a request that
+    // may have run.
     if (outcome.kind == OutcomeKind::Unknown)
         return 500;
     switch (outcome.reason) {
--- a/src/foxtailwheel/daemon/CallerRequest.h
+++ b/src/foxtailwheel/daemon/CallerRequest.h
@@ -8,24 +8,25 @@
 
 namespace foxtailwheel::daemon {
 
-/// @brief A caller's request that cannot be taken, told apart by status and code.
-struct CallerFault {
+/// @brief Why a caller's request is rejected: HTTP status, error code, and message.
+struct RequestError {
     unsigned status = 400;
     std::string code;
     std::string message;
 };
 
-/// @brief Reads a caller's request, or says what is wrong with it.
-std::variant<serving::SubmitRequest, CallerFault> readCallerRequest(
+/// @brief Parses, authenticates and validates a caller's request.
+/// @param catalog Null before the first configuration is active.
+std::variant<serving::SubmitRequest, RequestError> parseCallerRequest(
     const http::Request& request, const serving::Catalog* catalog);
 
-/// @brief The response to a faulty request.
-http::Response faultResponse(const CallerFault& fault);
+/// @brief Returns the response to a rejected request.
+http::Response requestErrorResponse(const RequestError& error);
 
-/// @brief Status of an ended run.
-unsigned statusOf(const pipeline::Outcome& outcome);
+/// @brief Returns the HTTP status of a finished run.
+unsigned httpStatusOf(const pipeline::Outcome& outcome);
 
-/// @brief JSON body of an ended run.
+/// @brief Returns the JSON body of the reply for a finished run.
 std::string replyBody(const serving::Reply& reply, bool withResult);
 
 } // namespace foxtailwheel::daemon
--- a/src/foxtailwheel/daemon/Cluster.cpp
+++ b/src/foxtailwheel/daemon/Cluster.cpp
@@ -10,18 +10,18 @@
 
     constexpr std::size_t pollersPerZone = 2;
 
-    std::uint64_t sequenceOf(const Clock& clock)
+    std::uint64_t wallClockSequence(const Clock& clock)
     {
         return static_cast<std::uint64_t>(clock.wallNow().time_since_epoch().count());
     }
 
-    membership::Member selfOf(const config::Settings& settings, const Clock& clock)
+    membership::Member makeSelf(const config::Settings& settings, const Clock& clock)
     {
         membership::Member self;
         self.id = settings.instance;
         self.peers = settings.peers;
         self.zone = settings.zone;
-        self.incarnation = Incarnation(sequenceOf(clock));
+        self.incarnation = Incarnation(wallClockSequence(clock));
         return self;
     }
 
@@ -32,16 +32,16 @@
     : m_settings(settings)
     , m_clock(clock)
     , m_dispatcher(dispatcher)
-    , m_membership(selfOf(settings, clock), {}, seed)
+    , m_membership(makeSelf(settings, clock), {}, seed)
 {
 }
 
 Result<void> Cluster::open(http::IoPool& pool, ConfigService& configs)
 {
     m_configs = &configs;
-    BOOST_OUTCOME_TRY(m_network,
+    BOOST_OUTCOME_TRY(m_transport,
         peer::Network::listen(
-            pool, m_settings.peers, m_settings.peerKey, [this](const peer::Message& message) { receive(message); }));
+            pool, m_settings.peers, m_settings.peerKey, [this](const peer::Message& message) { onMessage(message); }));
     return ok();
 }
 
@@ -54,50 +54,50 @@
     });
 }
 
-void Cluster::perform(const membership::MembershipActions& actions)
+void Cluster::execute(const membership::MembershipActions& actions)
 {
     bool changed = false;
     for (const auto& it : actions) {
         if (const auto* send = std::get_if<membership::SendMessage>(&it))
-            std::visit([this, send](const auto& message) { m_network->send(send->to, peer::Message(message)); },
+            std::visit([this, send](const auto& message) { m_transport->send(send->to, peer::Message(message)); },
                 send->message);
         else
             changed = true;
     }
     if (changed)
-        viewChanged();
+        onMembershipChanged();
 }
 
-void Cluster::viewChanged()
+void Cluster::onMembershipChanged()
 {
     std::set<BackendServerId> leaving;
-    std::vector<membership::Member> working;
+    std::vector<membership::Member> activeMembers;
     {
         const std::lock_guard lock(m_mutex);
         leaving = m_membership.leavingServers();
-        working = m_membership.working();
+        activeMembers = m_membership.working();
     }
     m_dispatcher.setLeaving(leaving);
-    m_dispatcher.setInstances(working.size());
-    std::erase_if(working, [this](const membership::Member& it) { return it.zone != m_settings.zone; });
-    const auto pollers = membership::owners("poller/" + m_settings.zone.value(), working, pollersPerZone);
+    m_dispatcher.setInstances(activeMembers.size());
+    std::erase_if(activeMembers, [this](const membership::Member& it) { return it.zone != m_settings.zone; });
+    const auto pollers = membership::owners("poller/" + m_settings.zone.value(), activeMembers, pollersPerZone);
     m_configs->setPoller(std::find(pollers.begin(), pollers.end(), m_settings.instance) != pollers.end());
 }
 
-void Cluster::receive(const peer::Message& message)
+void Cluster::onMessage(const peer::Message& message)
 {
     if (const auto* ping = std::get_if<membership::Ping>(&message)) {
         withMembership([this, ping](membership::Membership& it, membership::MembershipActions& actions) {
             it.onPing(*ping, m_clock.now(), actions);
         });
-        m_configs->onAnnounced(ping->digest.sender.id, ping->digest.sender.config);
+        m_configs->onPeerVersion(ping->digest.sender.id, ping->digest.sender.config);
     } else if (const auto* ack = std::get_if<membership::Ack>(&message)) {
         withMembership([this, ack](membership::Membership& it, membership::MembershipActions& actions) {
             it.onAck(*ack, m_clock.now(), actions);
         });
-        m_configs->onAnnounced(ack->digest.sender.id, ack->digest.sender.config);
+        m_configs->onPeerVersion(ack->digest.sender.id, ack->digest.sender.config);
     } else if (const auto* request = std::get_if<peer::ConfigRequest>(&message)) {
-        answerConfig(*request);
+        onConfigRequest(*request);
     } else if (const auto* reply = std::get_if<peer::ConfigReply>(&message)) {
         onConfigReply(*reply);
     } else if (const auto* demand = std::get_if<peer::Demand>(&message)) {
@@ -107,7 +107,7 @@
     }
 }
 
-void Cluster::onList(const store::ListResult& list)
+void Cluster::onInstanceList(const store::ListResult& list)
 {
     const std::set<BackendServerId> leaving(list.leavingServers.begin(), list.leavingServers.end());
     withMembership([&](membership::Membership& it, membership::MembershipActions& actions) {
@@ -117,23 +117,23 @@
                     { listed.id, listed.peers, listed.zone, {}, membership::MemberState::Alive, {} }, m_clock.now());
         }
         for (const auto& server : leaving) {
-            if (!m_listedLeaving.contains(server))
-                it.notice({ server, true, sequenceOf(m_clock) }, m_clock.now(), actions);
+            if (!m_listedLeavingServers.contains(server))
+                it.notice({ server, true, wallClockSequence(m_clock) }, m_clock.now(), actions);
         }
-        // Only an instance that has seen a server leave on the list may say that it came back.
-        for (const auto& server : m_listedLeaving) {
+        // Only an instance that saw the server as leaving in the list may announce that it has recovered.
+        for (const auto& server : m_listedLeavingServers) {
             if (!leaving.contains(server))
-                it.notice({ server, false, sequenceOf(m_clock) }, m_clock.now(), actions);
+                it.notice({ server, false, wallClockSequence(m_clock) }, m_clock.now(), actions);
         }
-        m_listedLeaving = leaving;
+        m_listedLeavingServers = leaving;
     });
 }
 
-void Cluster::serverLeaving(const BackendServerId& server)
+void Cluster::onServerLeaving(const BackendServerId& server)
 {
     withMembership([&](membership::Membership& it, membership::MembershipActions& actions) {
         if (!it.leavingServers().contains(server))
-            it.notice({ server, true, sequenceOf(m_clock) }, m_clock.now(), actions);
+            it.notice({ server, true, wallClockSequence(m_clock) }, m_clock.now(), actions);
     });
 }
 
@@ -146,8 +146,8 @@
 
 void Cluster::close()
 {
-    if (m_network)
-        m_network->close();
+    if (m_transport)
+        m_transport->close();
 }
 
 config::Endpoint Cluster::endpointOf(const InstanceId& id) const
@@ -159,8 +159,8 @@
     return {};
 }
 
-void Cluster::fetchText(
-    const InstanceId& peer, ConfigVersion version, ConfigVersion have, std::function<void(peer::ConfigReply)> done)
+void Cluster::fetchConfigText(const InstanceId& peer, ConfigVersion version, ConfigVersion currentVersion,
+    std::function<void(peer::ConfigReply)> done)
 {
     const auto endpoint = endpointOf(peer);
     if (endpoint.port == 0) {
@@ -169,14 +169,14 @@
     }
     {
         const std::lock_guard lock(m_mutex);
-        m_fetches[version] = std::move(done);
+        m_pendingFetches[version] = std::move(done);
     }
-    m_network->send(endpoint, peer::ConfigRequest { members().front(), version, have });
+    m_transport->send(endpoint, peer::ConfigRequest { members().front(), version, currentVersion });
 }
 
-void Cluster::answerConfig(const peer::ConfigRequest& request)
+void Cluster::onConfigRequest(const peer::ConfigRequest& request)
 {
-    m_network->send(request.sender.peers, m_configs->replyFor(request.version, request.have));
+    m_transport->send(request.sender.peers, m_configs->makeReply(request.version, request.have));
 }
 
 void Cluster::onConfigReply(const peer::ConfigReply& reply)
@@ -184,21 +184,21 @@
     std::function<void(peer::ConfigReply)> done;
     {
         const std::lock_guard lock(m_mutex);
-        const auto it = m_fetches.find(reply.version);
-        if (it == m_fetches.end())
+        const auto it = m_pendingFetches.find(reply.version);
+        if (it == m_pendingFetches.end())
             return;
         done = std::move(it->second);
-        m_fetches.erase(it);
+        m_pendingFetches.erase(it);
     }
     done(reply);
 }
 
-void Cluster::shareRates()
+void Cluster::exchangeRates()
 {
-    const auto working = this->working();
+    const auto activeMembers = this->activeMembers();
     std::map<InstanceId, peer::Demand> demands;
     for (const auto& it : m_dispatcher.drainDemand(m_clock.now())) {
-        const auto owner = membership::owners("rate/" + it.account.value(), working, 1);
+        const auto owner = membership::owners("rate/" + it.account.value(), activeMembers, 1);
         if (!owner.empty())
             demands[owner.front()].rates.push_back({ it.account, it.perSecond });
     }
@@ -207,37 +207,38 @@
         if (it.first == m_settings.instance)
             onDemand(it.second);
         else
-            m_network->send(endpointOf(it.first), it.second);
+            m_transport->send(endpointOf(it.first), it.second);
     }
-    divideRates(working);
+    allocateRates(activeMembers);
 }
 
 void Cluster::onDemand(const peer::Demand& demand)
 {
     const std::lock_guard lock(m_mutex);
     for (const auto& it : demand.rates)
-        m_ledger.demanded(it.account, demand.sender.id, it.perSecond, m_clock.now());
+        m_rateAllocator.demanded(it.account, demand.sender.id, it.perSecond, m_clock.now());
 }
 
-void Cluster::divideRates(const std::vector<membership::Member>& working)
+void Cluster::allocateRates(const std::vector<membership::Member>& activeMembers)
 {
     const auto catalog = m_dispatcher.catalog();
     if (!catalog)
         return;
     std::vector<InstanceId> ids;
-    for (const auto& it : working)
+    for (const auto& it : activeMembers)
         ids.push_back(it.id);
     std::map<InstanceId, peer::Allowance> allowances;
     {
         const std::lock_guard lock(m_mutex);
-        m_ledger.sweep(m_clock.now());
-        for (const auto& account : m_ledger.accounts()) {
+        m_rateAllocator.sweep(m_clock.now());
+        for (const auto& account : m_rateAllocator.accounts()) {
             const auto declared = catalog->accounts.find(account);
             if (declared == catalog->accounts.end())
                 continue;
-            for (const auto& part : m_ledger.divide(account, declared->second->ratePerSecond, ids, m_clock.now())) {
-                if (part.asked)
-                    allowances[part.instance].rates.push_back({ account, part.perSecond });
+            for (const auto& share :
+                m_rateAllocator.divide(account, declared->second->ratePerSecond, ids, m_clock.now())) {
+                if (share.asked)
+                    allowances[share.instance].rates.push_back({ account, share.perSecond });
             }
         }
     }
@@ -245,7 +246,7 @@
         if (it.first == m_settings.instance)
             onAllowance(it.second);
         else
-            m_network->send(endpointOf(it.first), it.second);
+            m_transport->send(endpointOf(it.first), it.second);
     }
 }
 
@@ -261,7 +262,7 @@
     return m_membership.members();
 }
 
-std::vector<membership::Member> Cluster::working() const
+std::vector<membership::Member> Cluster::activeMembers() const
 {
     const std::lock_guard lock(m_mutex);
     return m_membership.working();
--- a/src/foxtailwheel/daemon/Cluster.h
+++ b/src/foxtailwheel/daemon/Cluster.h
@@ -18,44 +18,45 @@
 
 namespace foxtailwheel::daemon {
 
-/// @brief What this instance does together with the others: membership, news of versions and of leaving servers,
-/// texts from peer to peer, and shared rates.
+/// @brief Coordination with the other instances: membership, gossip of configuration versions and leaving backend
+/// servers, transfer of configuration texts, and sharing of account rates.
 class Cluster {
 public:
     Cluster(const config::Settings& settings, const Clock& clock, serving::Dispatcher& dispatcher, std::uint64_t seed);
 
-    /// @brief Starts to listen.
+    /// @brief Starts listening for peers.
     Result<void> open(http::IoPool& pool, ConfigService& configs);
-    /// @brief Lets time pass; called some times a second.
+    /// @brief Runs the periodic work; called several times a second.
     void tick();
-    /// @brief Exchanges demands and allowances; called once a second.
-    void shareRates();
-    /// @brief Takes the platform's list.
-    void onList(const store::ListResult& list);
-    /// @brief A backend server said that it is leaving.
-    void serverLeaving(const BackendServerId& server);
-    /// @brief Tells the others that this instance leaves.
+    /// @brief Sends the local demand to the instances that own the accounts' rates, and allocates the rates that this
+    /// instance owns; called once a second.
+    void exchangeRates();
+    /// @brief Applies the platform's instance list.
+    void onInstanceList(const store::ListResult& list);
+    /// @brief Handles a backend server's announcement that it is leaving.
+    void onServerLeaving(const BackendServerId& server);
+    /// @brief Announces to the other instances that this one is leaving.
     void leave();
     void close();
-    /// @brief Gets a text from a peer.
-    void fetchText(
-        const InstanceId& peer, ConfigVersion version, ConfigVersion have, std::function<void(peer::ConfigReply)> done);
+    /// @brief Fetches the text of `version` from a peer; `done` gets an empty reply if the peer is unknown.
+    void fetchConfigText(const InstanceId& peer, ConfigVersion version, ConfigVersion currentVersion,
+        std::function<void(peer::ConfigReply)> done);
     std::vector<membership::Member> members() const;
-    std::vector<membership::Member> working() const;
-    peer::NetworkCounts counts() const { return m_network ? m_network->counts() : peer::NetworkCounts(); }
+    std::vector<membership::Member> activeMembers() const;
+    peer::NetworkCounts transportCounts() const { return m_transport ? m_transport->counts() : peer::NetworkCounts(); }
 
 private:
-    void perform(const membership::MembershipActions& actions);
-    void receive(const peer::Message& message);
-    void viewChanged();
-    void answerConfig(const peer::ConfigRequest& request);
+    void execute(const membership::MembershipActions& actions);
+    void onMessage(const peer::Message& message);
+    void onMembershipChanged();
+    void onConfigRequest(const peer::ConfigRequest& request);
     void onConfigReply(const peer::ConfigReply& reply);
     void onDemand(const peer::Demand& demand);
     void onAllowance(const peer::Allowance& allowance);
-    void divideRates(const std::vector<membership::Member>& working);
+    void allocateRates(const std::vector<membership::Member>& activeMembers);
     config::Endpoint endpointOf(const InstanceId& id) const;
 
-    /// Calls the membership under its lock, and carries out what follows.
+    /// Calls `event` with the membership under the lock, then executes the resulting actions without it.
     template <class Event> void withMembership(Event event)
     {
         membership::MembershipActions actions;
@@ -63,19 +64,19 @@
             const std::lock_guard lock(m_mutex);
             event(m_membership, actions);
         }
-        perform(actions);
+        execute(actions);
     }
 
     const config::Settings& m_settings;
     const Clock& m_clock;
     serving::Dispatcher& m_dispatcher;
     ConfigService* m_configs = nullptr;
-    std::unique_ptr<peer::Network> m_network;
+    std::unique_ptr<peer::Network> m_transport;
     mutable std::mutex m_mutex;
     membership::Membership m_membership;
-    limits::RateLedger m_ledger;
-    std::set<BackendServerId> m_listedLeaving;
-    std::map<ConfigVersion, std::function<void(peer::ConfigReply)>> m_fetches;
+    limits::RateLedger m_rateAllocator;
+    std::set<BackendServerId> m_listedLeavingServers;
+    std::map<ConfigVersion, std::function<void(peer::ConfigReply)>> m_pendingFetches;
 };
 
 } // namespace foxtailwheel::daemon
--- a/src/foxtailwheel/daemon/ConfigService.cpp
+++ b/src/foxtailwheel/daemon/ConfigService.cpp
@@ -11,7 +11,7 @@
 
     constexpr Duration tableTimeout = 1s;
     constexpr Duration applyTimeout = 8s;
-    constexpr std::size_t mostPatches = 32;
+    constexpr std::size_t maxPatches = 32;
 
 } // namespace
 
@@ -32,7 +32,7 @@
         const std::lock_guard lock(m_mutex);
         m_follower.tick(m_clock.now(), actions);
     }
-    perform(actions);
+    execute(actions);
 }
 
 void ConfigService::setPoller(bool isPoller)
@@ -41,26 +41,26 @@
     m_follower.setPoller(isPoller);
 }
 
-void ConfigService::onAnnounced(const InstanceId& peer, ConfigVersion version)
+void ConfigService::onPeerVersion(const InstanceId& peer, ConfigVersion version)
 {
     control::FollowActions actions;
     {
         const std::lock_guard lock(m_mutex);
         m_follower.onAnnounced(peer, version, m_clock.now(), actions);
     }
-    perform(actions);
+    execute(actions);
 }
 
-ConfigText ConfigService::inForce() const
+ConfigText ConfigService::activeConfig() const
 {
     const std::lock_guard lock(m_mutex);
-    return m_inForce;
+    return m_active;
 }
 
 ConfigVersion ConfigService::version() const
 {
     const std::lock_guard lock(m_mutex);
-    return m_inForce.version;
+    return m_active.version;
 }
 
 bool ConfigService::caughtUp() const
@@ -69,25 +69,25 @@
     return m_follower.caughtUp();
 }
 
-void ConfigService::apply(control::WantedChange wanted, std::function<void(control::ApplyResult)> done)
+void ConfigService::apply(control::WantedChange change, std::function<void(control::ApplyResult)> done)
 {
-    const auto text = wanted.text;
-    control::applyChange(m_table, m_clock, std::move(wanted), m_clock.now() + applyTimeout,
+    const auto text = change.text;
+    control::applyChange(m_table, m_clock, std::move(change), m_clock.now() + applyTimeout,
         [this, text, done = std::move(done)](const control::ApplyResult& result) {
-            // Put in force here at once, so that it spreads from here even if the table is lost right now.
+            // Activated at once, so that peers can fetch it from here even if the table becomes unavailable now.
             if (result.end == control::ApplyEnd::Accepted)
                 onText(result.version, text);
             done(result);
         });
 }
 
-void ConfigService::perform(const control::FollowActions& actions)
+void ConfigService::execute(const control::FollowActions& actions)
 {
     for (const auto& it : actions) {
         if (std::holds_alternative<control::ReadHead>(it))
             readHead();
-        else if (const auto* wanted = std::get_if<control::FetchText>(&it))
-            fetch(*wanted);
+        else if (const auto* fetchAction = std::get_if<control::FetchText>(&it))
+            fetch(*fetchAction);
         else
             install(std::get<control::InstallText>(it));
     }
@@ -102,29 +102,29 @@
             const std::lock_guard lock(m_mutex);
             m_follower.onHead(result.answered, head, m_clock.now(), actions);
         }
-        perform(actions);
+        execute(actions);
     });
 }
 
 void ConfigService::fetch(const control::FetchText& fetch)
 {
     const auto version = fetch.version;
-    const auto have = this->version();
+    const auto current = this->version();
     if (fetch.peer) {
-        m_fetchFromPeer(
-            *fetch.peer, version, have, [this, version](const peer::ConfigReply& reply) { onReply(version, reply); });
+        m_fetchFromPeer(*fetch.peer, version, current,
+            [this, version](const peer::ConfigReply& reply) { onPeerReply(version, reply); });
         return;
     }
-    if (have.value() == 0 || have.next() != version) {
+    if (current.value() == 0 || current.next() != version) {
         fetchText(version);
         return;
     }
-    // One version behind: its change row holds the patch, which is far smaller than the text.
+    // One version behind: the change row contains the patch, which is much smaller than the text.
     m_table.read(control::configChangeKey(version), m_clock.now() + tableTimeout,
         [this, version](const store::ReadResult& result) {
             const auto change
                 = result.rows.empty() ? std::nullopt : control::decodeConfigChange(result.rows.front().value);
-            const auto text = change && change->patch ? patched({ *change->patch }) : std::nullopt;
+            const auto text = change && change->patch ? applyPatches({ *change->patch }) : std::nullopt;
             if (text)
                 onText(version, text);
             else
@@ -140,9 +140,9 @@
         });
 }
 
-std::optional<std::string> ConfigService::patched(const std::vector<config::Patch>& patches) const
+std::optional<std::string> ConfigService::applyPatches(const std::vector<config::Patch>& patches) const
 {
-    auto current = inForce();
+    auto current = activeConfig();
     for (const auto& it : patches) {
         auto next = it.from == current.version ? config::applyPatch(current.text, it)
                                                : Result<std::string>(fail(Errc::Conflict));
@@ -154,23 +154,23 @@
     return current.text;
 }
 
-void ConfigService::onReply(ConfigVersion version, const peer::ConfigReply& reply)
+void ConfigService::onPeerReply(ConfigVersion version, const peer::ConfigReply& reply)
 {
     if (!reply.patches.empty())
-        onText(version, patched(reply.patches));
+        onText(version, applyPatches(reply.patches));
     else if (!reply.text.empty() && sha256Hex(reply.text) == reply.hash)
         onText(version, reply.text);
     else
         onText(version, std::nullopt);
 }
 
-peer::ConfigReply ConfigService::replyFor(ConfigVersion wanted, ConfigVersion have) const
+peer::ConfigReply ConfigService::makeReply(ConfigVersion requested, ConfigVersion current) const
 {
     const std::lock_guard lock(m_mutex);
-    peer::ConfigReply reply { wanted, {}, {}, {} };
-    if (m_inForce.version != wanted)
+    peer::ConfigReply reply { requested, {}, {}, {} };
+    if (m_active.version != requested)
         return reply;
-    auto at = have;
+    auto at = current;
     std::size_t bytes = 0;
     for (const auto& it : m_patches) {
         if (it.from != at)
@@ -179,9 +179,9 @@
         bytes += it.middle.size();
         at = it.to;
     }
-    if (have.value() > 0 && at == wanted && bytes < m_inForce.text.size())
+    if (current.value() > 0 && at == requested && bytes < m_active.text.size())
         return reply;
-    return { wanted, m_inForce.text, m_inForce.hash, {} };
+    return { requested, m_active.text, m_active.hash, {} };
 }
 
 void ConfigService::onText(ConfigVersion version, const std::optional<std::string>& text)
@@ -191,14 +191,14 @@
         const std::lock_guard lock(m_mutex);
         m_follower.onText(version, text, m_clock.now(), actions);
     }
-    perform(actions);
+    execute(actions);
 }
 
 void ConfigService::install(const control::InstallText& install)
 {
     auto parsed = config::parseDeclarations(install.text);
     if (!parsed.valid()) {
-        // Only checked texts are accepted, so this is a text of a newer program; the old one stays in force.
+        // Only valid texts are accepted, so this one comes from a newer release; the previous one stays active.
         telemetry::logError("config_not_understood",
             { { "version", std::to_string(install.version.value()) },
                 { "fault", config::describe(parsed.faults.front()) } });
@@ -208,13 +208,13 @@
         install.version, std::make_shared<const config::Declarations>(std::move(parsed.declarations)));
     {
         const std::lock_guard lock(m_mutex);
-        if (install.version > m_inForce.version) {
-            auto patch = config::makePatch(m_inForce.version, m_inForce.text, install.version, install.text);
-            if (m_inForce.version.value() > 0)
+        if (install.version > m_active.version) {
+            auto patch = config::makePatch(m_active.version, m_active.text, install.version, install.text);
+            if (m_active.version.value() > 0)
                 m_patches.push_back(std::move(patch));
-            if (m_patches.size() > mostPatches)
+            if (m_patches.size() > maxPatches)
                 m_patches.pop_front();
-            m_inForce = { install.version, install.text, sha256Hex(install.text) };
+            m_active = { install.version, install.text, sha256Hex(install.text) };
         }
     }
     telemetry::logInfo("config_in_force", { { "version", std::to_string(install.version.value()) } });
--- a/src/foxtailwheel/daemon/ConfigService.h
+++ b/src/foxtailwheel/daemon/ConfigService.h
@@ -16,46 +16,48 @@
 
 namespace foxtailwheel::daemon {
 
-/// @brief A text in force with its version.
+/// @brief The text of a configuration, and its version.
 struct ConfigText {
     ConfigVersion version;
     std::string text;
     std::string hash; ///< SHA-256 of the text.
 };
 
-/// @brief Gets a text from a peer.
-using FetchFromPeer = std::function<void(
-    const InstanceId& peer, ConfigVersion version, ConfigVersion have, std::function<void(peer::ConfigReply)> done)>;
+/// @brief Fetches the text of `version` from a peer; `currentVersion` is the local one, for patches.
+using FetchFromPeer = std::function<void(const InstanceId& peer, ConfigVersion version, ConfigVersion currentVersion,
+    std::function<void(peer::ConfigReply)> done)>;
 
-/// @brief Keeps the dispatcher on the highest accepted configuration, and applies operators' changes.
+/// @brief Configures the dispatcher with the highest accepted configuration, and commits operators' changes.
 class ConfigService {
 public:
     ConfigService(store::Table& table, const Clock& clock, serving::Dispatcher& dispatcher, FetchFromPeer fetchFromPeer,
         std::uint64_t seed);
 
-    /// @brief Lets time pass; called some times a second.
+    /// @brief Runs the periodic work; called several times a second.
     void tick();
-    /// @brief Says whether this instance is one of its zone's few pollers.
+    /// @brief Sets whether this instance is one of the few in its zone that poll the table.
     void setPoller(bool isPoller);
-    /// @brief A peer said which version it has.
-    void onAnnounced(const InstanceId& peer, ConfigVersion version);
-    /// @brief The text in force; version 0 for none.
-    ConfigText inForce() const;
-    /// @brief The version in force alone, without a copy of the text.
+    /// @brief Handles the version that a peer reported as its active one.
+    void onPeerVersion(const InstanceId& peer, ConfigVersion version);
+    /// @brief Returns the active configuration; version 0 if there is none.
+    ConfigText activeConfig() const;
+    /// @brief Returns the active version, without copying the text.
     ConfigVersion version() const;
+    /// @brief Returns true once it is certain enough that no higher version was accepted before the start.
     bool caughtUp() const;
-    /// @brief What a peer that has version `have` in force needs for `wanted`.
-    peer::ConfigReply replyFor(ConfigVersion wanted, ConfigVersion have) const;
-    /// @brief Applies a change that was checked already.
-    void apply(control::WantedChange wanted, std::function<void(control::ApplyResult)> done);
+    /// @brief Returns the patches or the text that bring a peer from version `current` to `requested`; empty if
+    /// `requested` is not active here.
+    peer::ConfigReply makeReply(ConfigVersion requested, ConfigVersion current) const;
+    /// @brief Commits a validated change to the table, and activates it here if it was accepted.
+    void apply(control::WantedChange change, std::function<void(control::ApplyResult)> done);
 
 private:
-    void perform(const control::FollowActions& actions);
+    void execute(const control::FollowActions& actions);
     void readHead();
     void fetch(const control::FetchText& fetch);
     void fetchText(ConfigVersion version);
-    std::optional<std::string> patched(const std::vector<config::Patch>& patches) const;
-    void onReply(ConfigVersion version, const peer::ConfigReply& reply);
+    std::optional<std::string> applyPatches(const std::vector<config::Patch>& patches) const;
+    void onPeerReply(ConfigVersion version, const peer::ConfigReply& reply);
     void onText(ConfigVersion version, const std::optional<std::string>& text);
     void install(const control::InstallText& install);
 
@@ -65,8 +67,8 @@
     FetchFromPeer m_fetchFromPeer;
     mutable std::mutex m_mutex;
     control::ConfigFollower m_follower;
-    ConfigText m_inForce;
-    std::deque<config::Patch> m_patches; ///< The latest, in their order.
+    ConfigText m_active;
+    std::deque<config::Patch> m_patches; ///< Patches between the latest versions, oldest first.
 };
 
 } // namespace foxtailwheel::daemon
--- a/src/foxtailwheel/daemon/Instance.cpp
+++ b/src/foxtailwheel/daemon/Instance.cpp
@@ -26,11 +26,11 @@
 
     constexpr Duration tickPeriod = 100ms;
     constexpr Duration loadPollPeriod = 1s;
-    constexpr Duration listPeriod = 2s;
-    constexpr Duration sharePeriod = 1s;
-    constexpr Duration cleanTimeout = 2s;
-    constexpr std::size_t leaseContenders = 2;
-    constexpr Duration listTimeout = 1s;
+    constexpr Duration instanceListPeriod = 2s;
+    constexpr Duration clusterTaskPeriod = 1s;
+    constexpr Duration claimCleanTimeout = 2s;
+    constexpr std::size_t leaseContendersPerPool = 2;
+    constexpr Duration instanceListTimeout = 1s;
     constexpr Duration drainCheckPeriod = 20ms;
 
     serving::DispatcherOptions dispatcherOptions(const config::Settings& settings, std::uint64_t seed)
@@ -43,18 +43,18 @@
         return options;
     }
 
-    std::string_view toString(LifeState state)
+    std::string_view toString(LifecycleState state)
     {
         constexpr std::array<std::string_view, 5> names { "starting", "serving", "announcing", "draining", "stopped" };
         return names.at(static_cast<std::size_t>(state));
     }
 
-    class ComposedInstance final : public Instance {
+    class InstanceImpl final : public Instance {
     public:
-        explicit ComposedInstance(config::Settings settings);
-        ~ComposedInstance() override { m_pool->stop(); }
-        ComposedInstance(const ComposedInstance&) = delete;
-        ComposedInstance& operator=(const ComposedInstance&) = delete;
+        explicit InstanceImpl(config::Settings settings);
+        ~InstanceImpl() override { m_pool->stop(); }
+        InstanceImpl(const InstanceImpl&) = delete;
+        InstanceImpl& operator=(const InstanceImpl&) = delete;
 
         Result<void> open();
         void shutDown() override;
@@ -63,24 +63,24 @@
         std::uint16_t operatorPort() const override { return m_operatorServer->port(); }
 
     private:
-        control::Defer deferrer();
-        Perform performer();
+        control::Defer makeRunAfter();
+        ActionExecutor actionExecutor();
         FetchFromPeer peerFetcher();
         OperatorHooks operatorHooks();
-        void perform(serving::Actions actions);
-        void perform(serving::Action& action);
+        void execute(serving::Actions actions);
+        void execute(serving::Action& action);
         void tick();
         void pollLoads();
-        void shareWork();
-        void cleanClaims(const std::vector<membership::Member>& working);
-        void readList();
+        void runClusterTasks();
+        void cleanClaims(const std::vector<membership::Member>& activeMembers);
+        void refreshInstanceList();
         void announce(bool leaving);
-        void onList(const store::ListResult& list);
+        void onInstanceList(const store::ListResult& list);
         void drain();
         void checkDrained();
-        bool process(LifeEvent event);
-        LifeState state() const;
-        void stopped(std::size_t cut);
+        bool process(LifecycleEvent event);
+        LifecycleState state() const;
+        void finishShutdown(std::size_t abortedRequests);
         std::vector<MemberStatus> members() const;
 
         config::Settings m_settings;
@@ -90,70 +90,71 @@
         std::unique_ptr<http::Client> m_client;
         std::unique_ptr<telemetry::Metrics> m_metrics = telemetry::Metrics::create();
         std::unique_ptr<store::Table> m_table;
-        std::unique_ptr<store::InstanceList> m_list;
+        std::unique_ptr<store::InstanceList> m_instanceList;
         std::unique_ptr<serving::Dispatcher> m_dispatcher;
-        std::unique_ptr<control::ClaimKeeper> m_claims;
+        std::unique_ptr<control::ClaimKeeper> m_claimStore;
         Cluster m_cluster;
-        CallDriver m_calls;
-        CallerApi m_callers;
-        ConfigService m_configs;
-        LoadPoller m_loads;
-        OrderService m_orders;
-        OperatorApi m_operators;
+        CallDriver m_callDriver;
+        CallerApi m_callerApi;
+        ConfigService m_configService;
+        LoadPoller m_loadPoller;
+        OrderService m_orderService;
+        OperatorApi m_operatorApi;
         std::unique_ptr<http::Server> m_callerServer;
         std::unique_ptr<http::Server> m_operatorServer;
         mutable std::mutex m_mutex;
-        std::condition_variable m_ended;
-        Lifecycle m_life;
-        control::ClaimCleaner m_cleaner;
-        TimePoint m_drainUntil {};
-        std::size_t m_cut = 0;
+        std::condition_variable m_stoppedCondition;
+        Lifecycle m_lifecycle;
+        control::ClaimCleaner m_claimCleaner;
+        TimePoint m_drainDeadline {};
+        std::size_t m_abortedRequests = 0;
     };
 
-    ComposedInstance::ComposedInstance(config::Settings settings)
+    InstanceImpl::InstanceImpl(config::Settings settings)
         : m_settings(std::move(settings))
         , m_pool(http::IoPool::create(m_settings.threads))
         , m_client(http::Client::create(*m_pool, *m_clock))
         , m_table(store::tableClient(*m_client, *m_clock, m_settings.table, m_seed))
-        , m_list(store::instanceListClient(*m_client, m_settings.instanceList))
+        , m_instanceList(store::instanceListClient(*m_client, m_settings.instanceList))
         , m_dispatcher(serving::makeDispatcher(dispatcherOptions(m_settings, m_seed)))
-        , m_claims(control::ClaimKeeper::create(*m_table, *m_clock, m_settings.instance, m_seed + 1, deferrer()))
+        , m_claimStore(
+              control::ClaimKeeper::create(*m_table, *m_clock, m_settings.instance, m_seed + 1, makeRunAfter()))
         , m_cluster(m_settings, *m_clock, *m_dispatcher, m_seed + 3)
-        , m_calls(*m_client, *m_clock, *m_dispatcher, performer(),
-              [this](const BackendServerId& server) { m_cluster.serverLeaving(server); })
-        , m_callers(*m_clock, *m_dispatcher, *m_metrics, performer())
-        , m_configs(*m_table, *m_clock, *m_dispatcher, peerFetcher(), m_seed + 2)
-        , m_loads(*m_client, *m_clock, *m_dispatcher)
-        , m_orders(*m_table, *m_client, *m_clock, *m_dispatcher, *m_metrics, m_settings.instance)
-        , m_operators(m_settings, *m_clock, *m_dispatcher, m_configs, *m_table, operatorHooks())
+        , m_callDriver(*m_client, *m_clock, *m_dispatcher, actionExecutor(),
+              [this](const BackendServerId& server) { m_cluster.onServerLeaving(server); })
+        , m_callerApi(*m_clock, *m_dispatcher, *m_metrics, actionExecutor())
+        , m_configService(*m_table, *m_clock, *m_dispatcher, peerFetcher(), m_seed + 2)
+        , m_loadPoller(*m_client, *m_clock, *m_dispatcher)
+        , m_orderService(*m_table, *m_client, *m_clock, *m_dispatcher, *m_metrics, m_settings.instance)
+        , m_operatorApi(m_settings, *m_clock, *m_dispatcher, m_configService, *m_table, operatorHooks())
     {
     }
 
-    control::Defer ComposedInstance::deferrer()
+    control::Defer InstanceImpl::makeRunAfter()
     {
         return [this](Duration delay, std::function<void()> work) { m_pool->after(delay, std::move(work)); };
     }
 
-    Perform ComposedInstance::performer()
+    ActionExecutor InstanceImpl::actionExecutor()
     {
-        return [this](serving::Actions actions) { perform(std::move(actions)); };
+        return [this](serving::Actions actions) { execute(std::move(actions)); };
     }
 
-    FetchFromPeer ComposedInstance::peerFetcher()
+    FetchFromPeer InstanceImpl::peerFetcher()
     {
-        return [this](const InstanceId& peer, ConfigVersion version, ConfigVersion have,
+        return [this](const InstanceId& peer, ConfigVersion version, ConfigVersion currentVersion,
                    std::function<void(peer::ConfigReply)> done) {
-            m_cluster.fetchText(peer, version, have, std::move(done));
+            m_cluster.fetchConfigText(peer, version, currentVersion, std::move(done));
         };
     }
 
-    OperatorHooks ComposedInstance::operatorHooks()
+    OperatorHooks InstanceImpl::operatorHooks()
     {
         return { [this] { return std::string(toString(state())); }, [this] { return members(); },
             [this] { shutDown(); } };
     }
 
-    Result<void> ComposedInstance::open()
+    Result<void> InstanceImpl::open()
     {
         http::ServerOptions callers;
         callers.listen = m_settings.callers;
@@ -162,7 +163,7 @@
         BOOST_OUTCOME_TRY(m_callerServer,
             http::Server::listen(*m_pool, callers,
                 [this](const http::Request& request, const std::shared_ptr<http::Responder>& responder) {
-                    m_callers.handle(request, responder);
+                    m_callerApi.handle(request, responder);
                 }));
         http::ServerOptions operators;
         operators.listen = m_settings.operators;
@@ -170,139 +171,143 @@
         BOOST_OUTCOME_TRY(m_operatorServer,
             http::Server::listen(*m_pool, operators,
                 [this](const http::Request& request, const std::shared_ptr<http::Responder>& responder) {
-                    m_operators.handle(request, responder);
+                    m_operatorApi.handle(request, responder);
                 }));
-        BOOST_OUTCOME_TRYV(m_cluster.open(*m_pool, m_configs));
+        BOOST_OUTCOME_TRYV(m_cluster.open(*m_pool, m_configService));
         tick();
         pollLoads();
-        shareWork();
-        readList();
+        runClusterTasks();
+        refreshInstanceList();
         telemetry::logInfo("started",
             { { "instance", m_settings.instance.value() }, { "zone", m_settings.zone.value() },
                 { "callers", m_settings.callers.toString() } });
         return ok();
     }
 
-    void ComposedInstance::perform(serving::Actions actions)
+    void InstanceImpl::execute(serving::Actions actions)
     {
         for (auto& it : actions)
-            perform(it);
+            execute(it);
     }
 
-    void ComposedInstance::perform(serving::Action& action)
+    void InstanceImpl::execute(serving::Action& action)
     {
         if (auto* send = std::get_if<serving::SendCall>(&action)) {
-            m_calls.send(std::move(*send));
+            m_callDriver.send(std::move(*send));
         } else if (const auto* stop = std::get_if<serving::StopCall>(&action)) {
-            m_calls.stop(*stop);
+            m_callDriver.cancel(*stop);
         } else if (const auto* timer = std::get_if<pipeline::SetTimer>(&action)) {
             m_pool->after(timer->at - m_clock->now(), [this, id = timer->id] {
-                serving::Actions due;
-                m_dispatcher->onTimer(id, m_clock->now(), due);
-                perform(std::move(due));
+                serving::Actions followUp;
+                m_dispatcher->onTimer(id, m_clock->now(), followUp);
+                execute(std::move(followUp));
             });
         } else if (const auto* claim = std::get_if<serving::ClaimCall>(&action)) {
-            m_claims->claim(
+            m_claimStore->claim(
                 *claim, [this, run = claim->run, stage = claim->stage](const pipeline::ClaimResult& result) {
-                    serving::Actions due;
-                    m_dispatcher->onClaim(run, stage, result, m_clock->now(), due);
-                    perform(std::move(due));
+                    serving::Actions followUp;
+                    m_dispatcher->onClaim(run, stage, result, m_clock->now(), followUp);
+                    execute(std::move(followUp));
                 });
         } else if (const auto* end = std::get_if<serving::EndClaim>(&action)) {
-            m_claims->end(*end);
+            m_claimStore->end(*end);
         } else if (const auto* tokens = std::get_if<pipeline::EmitTokens>(&action)) {
-            m_callers.emit(*tokens);
+            m_callerApi.emit(*tokens);
         } else if (const auto* reply = std::get_if<serving::Reply>(&action)) {
-            m_callers.reply(*reply);
+            m_callerApi.reply(*reply);
         }
     }
 
-    void ComposedInstance::tick()
+    void InstanceImpl::tick()
     {
-        m_configs.tick();
+        m_configService.tick();
         m_cluster.tick();
-        if (m_configs.caughtUp() && process(LifeEvent::CaughtUp)) {
-            m_callers.setReady(true);
+        if (m_configService.caughtUp() && process(LifecycleEvent::ConfigReady)) {
+            m_callerApi.setReady(true);
             telemetry::logInfo("serving");
         }
         const auto counts = m_dispatcher->status();
         m_metrics->gauge("foxtailwheel_runs", {}, static_cast<double>(counts.runs));
         m_metrics->gauge("foxtailwheel_queued_runs", {}, static_cast<double>(counts.queued));
         m_metrics->gauge("foxtailwheel_stray_results", {}, static_cast<double>(counts.strayResults));
-        m_metrics->gauge("foxtailwheel_config_version", {}, static_cast<double>(m_configs.version().value()));
+        m_metrics->gauge("foxtailwheel_config_version", {}, static_cast<double>(m_configService.version().value()));
         m_pool->after(tickPeriod, [this] { tick(); });
     }
 
-    void ComposedInstance::pollLoads()
+    void InstanceImpl::pollLoads()
     {
-        m_loads.poll();
+        m_loadPoller.poll();
         m_pool->after(loadPollPeriod, [this] { pollLoads(); });
     }
 
-    void ComposedInstance::shareWork()
+    void InstanceImpl::runClusterTasks()
     {
-        m_cluster.shareRates();
-        const auto working = m_cluster.working();
-        m_orders.tick([&](const ServiceId& pool) {
-            const auto contenders = membership::owners("lease/" + pool.value(), working, leaseContenders);
+        m_cluster.exchangeRates();
+        const auto activeMembers = m_cluster.activeMembers();
+        m_orderService.tick([&](const ServiceId& pool) {
+            const auto contenders = membership::owners("lease/" + pool.value(), activeMembers, leaseContendersPerPool);
             return std::find(contenders.begin(), contenders.end(), m_settings.instance) != contenders.end();
         });
-        cleanClaims(working);
-        const auto counts = m_cluster.counts();
+        cleanClaims(activeMembers);
+        const auto counts = m_cluster.transportCounts();
         m_metrics->gauge("foxtailwheel_peer_sent_bytes", {}, static_cast<double>(counts.sentBytes));
         m_metrics->gauge("foxtailwheel_peer_dropped_frames", {}, static_cast<double>(counts.droppedFrames));
-        constexpr std::array<const char*, 5> refusals { "wrong_key", "wrong_protocol", "oversized", "garbled", "cut" };
-        for (std::size_t i = 0; i < refusals.size(); ++i)
-            m_metrics->gauge("foxtailwheel_peer_refused_frames", { { "reason", refusals.at(i) } },
+        constexpr std::array<const char*, 5> refusalReasons { "wrong_key", "wrong_protocol", "oversized", "garbled",
+            "cut" };
+        for (std::size_t i = 0; i < refusalReasons.size(); ++i)
+            m_metrics->gauge("foxtailwheel_peer_refused_frames", { { "reason", refusalReasons.at(i) } },
                 static_cast<double>(counts.refused.at(i)));
-        m_pool->after(sharePeriod, [this] { shareWork(); });
+        m_pool->after(clusterTaskPeriod, [this] { runClusterTasks(); });
     }
 
-    void ComposedInstance::cleanClaims(const std::vector<membership::Member>& working)
+    void InstanceImpl::cleanClaims(const std::vector<membership::Member>& activeMembers)
     {
-        const auto owner = membership::owners("claim-cleaner", working, 1);
+        const auto owner = membership::owners("claim-cleaner", activeMembers, 1);
         if (owner.empty() || owner.front() != m_settings.instance)
             return;
         std::optional<control::ClaimCleaner::Page> page;
         {
             const std::lock_guard lock(m_mutex);
-            page = m_cleaner.duePage(m_clock->now());
+            page = m_claimCleaner.duePage(m_clock->now());
         }
         if (!page)
             return;
-        const auto until = m_clock->now() + cleanTimeout;
-        m_table->scan(page->prefix, page->after, page->limit, until, [this, until](const store::ReadResult& result) {
-            std::optional<store::Transaction> deletion;
-            {
-                const std::lock_guard lock(m_mutex);
-                deletion = m_cleaner.onPage(result, m_clock->now(), m_clock->wallNow());
-                m_metrics->gauge("foxtailwheel_claims_deleted", {}, static_cast<double>(m_cleaner.deleted()));
-            }
-            if (deletion)
-                m_table->transact(std::move(*deletion), until + cleanTimeout, [](const store::TransactResult&) {});
-        });
+        const auto scanDeadline = m_clock->now() + claimCleanTimeout;
+        m_table->scan(page->prefix, page->after, page->limit, scanDeadline,
+            [this, scanDeadline](const store::ReadResult& result) {
+                std::optional<store::Transaction> deletion;
+                {
+                    const std::lock_guard lock(m_mutex);
+                    deletion = m_claimCleaner.onPage(result, m_clock->now(), m_clock->wallNow());
+                    m_metrics->gauge("foxtailwheel_claims_deleted", {}, static_cast<double>(m_claimCleaner.deleted()));
+                }
+                if (deletion)
+                    m_table->transact(
+                        std::move(*deletion), scanDeadline + claimCleanTimeout, [](const store::TransactResult&) {});
+            });
     }
 
-    void ComposedInstance::announce(bool leaving)
+    void InstanceImpl::announce(bool leaving)
     {
-        m_list->announce({ m_settings.instance, m_settings.peers, m_settings.zone, m_settings.region, leaving },
-            m_clock->now() + listTimeout);
+        m_instanceList->announce({ m_settings.instance, m_settings.peers, m_settings.zone, m_settings.region, leaving },
+            m_clock->now() + instanceListTimeout);
     }
 
-    void ComposedInstance::readList()
+    void InstanceImpl::refreshInstanceList()
     {
-        announce(state() != LifeState::Starting && state() != LifeState::Serving);
-        m_list->fetch(m_clock->now() + listTimeout, [this](const store::ListResult& list) { onList(list); });
-        m_pool->after(listPeriod, [this] { readList(); });
+        announce(state() != LifecycleState::Starting && state() != LifecycleState::Serving);
+        m_instanceList->fetch(
+            m_clock->now() + instanceListTimeout, [this](const store::ListResult& list) { onInstanceList(list); });
+        m_pool->after(instanceListPeriod, [this] { refreshInstanceList(); });
     }
 
-    void ComposedInstance::onList(const store::ListResult& list)
+    void InstanceImpl::onInstanceList(const store::ListResult& list)
     {
         if (list.answered)
-            m_cluster.onList(list);
+            m_cluster.onInstanceList(list);
     }
 
-    std::vector<MemberStatus> ComposedInstance::members() const
+    std::vector<MemberStatus> InstanceImpl::members() const
     {
         std::vector<MemberStatus> rows;
         for (const auto& it : m_cluster.members())
@@ -310,86 +315,86 @@
         return rows;
     }
 
-    bool ComposedInstance::process(LifeEvent event)
+    bool InstanceImpl::process(LifecycleEvent event)
     {
         const std::lock_guard lock(m_mutex);
-        return m_life.process(event);
+        return m_lifecycle.process(event);
     }
 
-    LifeState ComposedInstance::state() const
+    LifecycleState InstanceImpl::state() const
     {
         const std::lock_guard lock(m_mutex);
-        return m_life.state();
+        return m_lifecycle.state();
     }
 
-    void ComposedInstance::shutDown()
+    void InstanceImpl::shutDown()
     {
-        if (!process(LifeEvent::ShutdownAsked)) {
-            const auto cut = m_callers.inProgress();
-            if (process(LifeEvent::DrainCut))
-                stopped(cut);
+        if (!process(LifecycleEvent::ShutdownRequested)) {
+            const auto abortedRequests = m_callerApi.inProgress();
+            if (process(LifecycleEvent::DrainAborted))
+                finishShutdown(abortedRequests);
             return;
         }
-        m_callers.setReady(false);
+        m_callerApi.setReady(false);
         announce(true);
         m_cluster.leave();
         telemetry::logInfo(
             "leaving", { { "balancer_delay_ms", std::to_string(toMilliseconds(m_settings.balancerDelay)) } });
-        m_drainUntil = m_clock->now() + m_settings.balancerDelay + m_settings.drainLimit;
+        m_drainDeadline = m_clock->now() + m_settings.balancerDelay + m_settings.drainLimit;
         m_pool->after(m_settings.balancerDelay, [this] { drain(); });
     }
 
-    void ComposedInstance::drain()
+    void InstanceImpl::drain()
     {
-        process(LifeEvent::BalancerInformed);
+        process(LifecycleEvent::BalancerDelayElapsed);
         m_dispatcher->stopAccepting();
         m_callerServer->stopAccepting();
-        telemetry::logInfo("draining", { { "in_progress", std::to_string(m_callers.inProgress()) } });
+        telemetry::logInfo("draining", { { "in_progress", std::to_string(m_callerApi.inProgress()) } });
         checkDrained();
     }
 
-    void ComposedInstance::checkDrained()
+    void InstanceImpl::checkDrained()
     {
-        const bool idle = m_callers.inProgress() == 0 && m_callerServer->inProgress() == 0
-            && m_dispatcher->status().runs == 0 && m_claims->pendingRecords() == 0;
-        if (idle && process(LifeEvent::LastRunEnded)) {
-            stopped(0);
+        const bool idle = m_callerApi.inProgress() == 0 && m_callerServer->inProgress() == 0
+            && m_dispatcher->status().runs == 0 && m_claimStore->pendingRecords() == 0;
+        if (idle && process(LifecycleEvent::DrainCompleted)) {
+            finishShutdown(0);
             return;
         }
-        if (m_clock->now() >= m_drainUntil && process(LifeEvent::DrainCut)) {
-            stopped(m_callers.inProgress());
+        if (m_clock->now() >= m_drainDeadline && process(LifecycleEvent::DrainAborted)) {
+            finishShutdown(m_callerApi.inProgress());
             return;
         }
-        if (state() != LifeState::Stopped)
+        if (state() != LifecycleState::Stopped)
             m_pool->after(drainCheckPeriod, [this] { checkDrained(); });
     }
 
-    void ComposedInstance::stopped(std::size_t cut)
+    void InstanceImpl::finishShutdown(std::size_t abortedRequests)
     {
-        telemetry::logInfo("stopped", { { "cut", std::to_string(cut) } });
+        telemetry::logInfo("stopped", { { "cut", std::to_string(abortedRequests) } });
         {
             const std::lock_guard lock(m_mutex);
-            m_cut = cut;
+            m_abortedRequests = abortedRequests;
         }
-        m_ended.notify_all();
+        m_stoppedCondition.notify_all();
     }
 
-    std::size_t ComposedInstance::waitUntilStopped()
+    std::size_t InstanceImpl::waitUntilStopped()
     {
         m_pool->onTerminate([this](int /*count*/) { shutDown(); });
         std::unique_lock lock(m_mutex);
-        m_ended.wait(lock, [this] { return m_life.state() == LifeState::Stopped; });
+        m_stoppedCondition.wait(lock, [this] { return m_lifecycle.state() == LifecycleState::Stopped; });
         lock.unlock();
         m_cluster.close();
         m_pool->stop();
-        return m_cut;
+        return m_abortedRequests;
     }
 
 } // namespace
 
 Result<std::unique_ptr<Instance>> Instance::start(config::Settings settings)
 {
-    auto instance = std::make_unique<ComposedInstance>(std::move(settings));
+    auto instance = std::make_unique<InstanceImpl>(std::move(settings));
     BOOST_OUTCOME_TRYV(instance->open());
     return std::unique_ptr<Instance>(std::move(instance));
 }
--- a/src/foxtailwheel/daemon/Lifecycle.cpp
+++ b/src/foxtailwheel/daemon/Lifecycle.cpp
@@ -13,15 +13,15 @@
     using msm::front::none;
     using msm::front::Row;
 
-    struct CaughtUp { };
-    struct ShutdownAsked { };
-    struct BalancerInformed { };
-    struct LastRunEnded { };
-    struct DrainCut { };
+    struct ConfigReady { };
+    struct ShutdownRequested { };
+    struct BalancerDelayElapsed { };
+    struct DrainCompleted { };
+    struct DrainAborted { };
 
     struct Starting : msm::front::state<> { };
     struct Serving : msm::front::state<> { };
-    struct Announcing : msm::front::state<> { };
+    struct LameDuck : msm::front::state<> { };
     struct Draining : msm::front::state<> { };
     struct Stopped : msm::front::state<> { };
 
@@ -29,13 +29,13 @@
         using initial_state = Starting;
         // clang-format off
         struct transition_table : boost::mpl::vector< // NOLINT(readability-identifier-naming)
-            Row<Starting,   CaughtUp,         Serving,    none, none>,
-            Row<Starting,   ShutdownAsked,    Draining,   none, none>,
-            Row<Serving,    ShutdownAsked,    Announcing, none, none>,
-            Row<Announcing, BalancerInformed, Draining,   none, none>,
-            Row<Announcing, DrainCut,         Stopped,    none, none>,
-            Row<Draining,   LastRunEnded,     Stopped,    none, none>,
-            Row<Draining,   DrainCut,         Stopped,    none, none>
+            Row<Starting, ConfigReady,          Serving,  none, none>,
+            Row<Starting, ShutdownRequested,    Draining, none, none>,
+            Row<Serving,  ShutdownRequested,    LameDuck, none, none>,
+            Row<LameDuck, BalancerDelayElapsed, Draining, none, none>,
+            Row<LameDuck, DrainAborted,         Stopped,  none, none>,
+            Row<Draining, DrainCompleted,       Stopped,  none, none>,
+            Row<Draining, DrainAborted,         Stopped,  none, none>
         > { };
         // clang-format on
 
@@ -45,59 +45,59 @@
         }
     };
 
-    using Backend = msm::back::state_machine<MachineDef>;
+    using StateMachine = msm::back::state_machine<MachineDef>;
 
-    template <class State> constexpr int idOf()
+    template <class State> constexpr int stateId()
     {
-        return msm::back::get_state_id<Backend::stt, State>::value;
+        return msm::back::get_state_id<StateMachine::stt, State>::value;
     }
 
-    template <class Event> bool send(Backend& backend, const Event& event)
+    template <class Event> bool processEvent(StateMachine& stateMachine, const Event& event)
     {
-        return backend.process_event(event) == msm::back::HANDLED_TRUE;
+        return stateMachine.process_event(event) == msm::back::HANDLED_TRUE;
     }
 
 } // namespace
 
 struct Lifecycle::Machine {
-    Backend backend;
+    StateMachine stateMachine;
 };
 
 Lifecycle::Lifecycle()
     : m_machine(std::make_unique<Machine>())
 {
-    m_machine->backend.start();
+    m_machine->stateMachine.start();
 }
 Lifecycle::~Lifecycle() = default;
 
-bool Lifecycle::process(LifeEvent event)
+bool Lifecycle::process(LifecycleEvent event)
 {
-    auto& backend = m_machine->backend;
+    auto& stateMachine = m_machine->stateMachine;
     switch (event) {
-    case LifeEvent::CaughtUp:
-        return send(backend, CaughtUp {});
-    case LifeEvent::ShutdownAsked:
-        return send(backend, ShutdownAsked {});
-    case LifeEvent::BalancerInformed:
-        return send(backend, BalancerInformed {});
-    case LifeEvent::LastRunEnded:
-        return send(backend, LastRunEnded {});
-    case LifeEvent::DrainCut:
-        return send(backend, DrainCut {});
+    case LifecycleEvent::ConfigReady:
+        return processEvent(stateMachine, ConfigReady {});
+    case LifecycleEvent::ShutdownRequested:
+        return processEvent(stateMachine, ShutdownRequested {});
+    case LifecycleEvent::BalancerDelayElapsed:
+        return processEvent(stateMachine, BalancerDelayElapsed {});
+    case LifecycleEvent::DrainCompleted:
+        return processEvent(stateMachine, DrainCompleted {});
+    case LifecycleEvent::DrainAborted:
+        return processEvent(stateMachine, DrainAborted {});
     }
     return false;
 }
 
-LifeState Lifecycle::state() const
+LifecycleState Lifecycle::state() const
 {
-    constexpr std::array ids { idOf<Starting>(), idOf<Serving>(), idOf<Announcing>(), idOf<Draining>(),
-        idOf<Stopped>() };
-    const int n = m_machine->backend.current_state()[0];
+    constexpr std::array ids { stateId<Starting>(), stateId<Serving>(), stateId<LameDuck>(), stateId<Draining>(),
+        stateId<Stopped>() };
+    const int current = m_machine->stateMachine.current_state()[0];
     for (std::size_t i = 0; i < ids.size(); ++i) {
-        if (ids.at(i) == n)
-            return static_cast<LifeState>(i);
+        if (ids.at(i) == current)
+            return static_cast<LifecycleState>(i);
     }
-    return LifeState::Stopped;
+    return LifecycleState::Stopped;
 }
 
 } // namespace foxtailwheel::daemon
--- a/src/foxtailwheel/daemon/LifecycleTest.cpp
+++ b/src/foxtailwheel/daemon/LifecycleTest.cpp
@@ -3,27 +3,27 @@
 #include <criterion/criterion.h>
 
 using foxtailwheel::daemon::Lifecycle;
-using foxtailwheel::daemon::LifeEvent;
-using foxtailwheel::daemon::LifeState;
+using foxtailwheel::daemon::LifecycleEvent;
+using foxtailwheel::daemon::LifecycleState;
 
-Test(Lifecycle, readinessGoesFirstAndTheEndComesLast)
+Test(Lifecycle, shutdownClearsReadinessBeforeDrainingAndStopping)
 {
-    Lifecycle life;
-    cr_assert(!life.ready());
-    cr_assert(life.process(LifeEvent::CaughtUp) && life.ready());
-    cr_assert(life.process(LifeEvent::ShutdownAsked) && !life.ready());
-    cr_assert(life.state() == LifeState::Announcing);
-    cr_assert(!life.process(LifeEvent::LastRunEnded));
-    cr_assert(life.process(LifeEvent::BalancerInformed));
-    cr_assert(life.process(LifeEvent::LastRunEnded) && life.state() == LifeState::Stopped);
+    Lifecycle lifecycle;
+    cr_assert(!lifecycle.ready());
+    cr_assert(lifecycle.process(LifecycleEvent::ConfigReady) && lifecycle.ready());
+    cr_assert(lifecycle.process(LifecycleEvent::ShutdownRequested) && !lifecycle.ready());
+    cr_assert(lifecycle.state() == LifecycleState::LameDuck);
+    cr_assert(!lifecycle.process(LifecycleEvent::DrainCompleted));
+    cr_assert(lifecycle.process(LifecycleEvent::BalancerDelayElapsed));
+    cr_assert(lifecycle.process(LifecycleEvent::DrainCompleted) && lifecycle.state() == LifecycleState::Stopped);
 }
 
-Test(Lifecycle, aSecondSignalCuts)
+Test(Lifecycle, aSecondShutdownRequestAbortsTheDrain)
 {
-    Lifecycle life;
-    life.process(LifeEvent::CaughtUp);
-    life.process(LifeEvent::ShutdownAsked);
-    cr_assert(!life.process(LifeEvent::ShutdownAsked));
-    cr_assert(life.process(LifeEvent::DrainCut) && life.state() == LifeState::Stopped);
-    cr_assert(!life.process(LifeEvent::CaughtUp));
+    Lifecycle lifecycle;
+    lifecycle.process(LifecycleEvent::ConfigReady);
+    lifecycle.process(LifecycleEvent::ShutdownRequested);
+    cr_assert(!lifecycle.process(LifecycleEvent::ShutdownRequested));
+    cr_assert(lifecycle.process(LifecycleEvent::DrainAborted) && lifecycle.state() == LifecycleState::Stopped);
+    cr_assert(!lifecycle.process(LifecycleEvent::ConfigReady));
 }
--- a/src/foxtailwheel/daemon/LoadHeader.cpp
+++ b/src/foxtailwheel/daemon/LoadHeader.cpp
@@ -4,7 +4,7 @@
 
 namespace foxtailwheel::daemon {
 
-bool readLoadHeader(const http::Headers& headers, routing::LoadReport& report)
+bool parseLoadHeader(const http::Headers& headers, routing::LoadReport& report)
 {
     const auto text = http::findHeader(headers, "X-Load");
     const auto comma = text.find(',');
--- a/src/foxtailwheel/daemon/LoadHeader.h
+++ b/src/foxtailwheel/daemon/LoadHeader.h
@@ -5,8 +5,8 @@
 
 namespace foxtailwheel::daemon {
 
-/// @brief Reads the header `X-Load: running,queued` that backend servers add to their responses.
-/// @return False where it is missing or malformed; `report` is then not to be used.
-bool readLoadHeader(const http::Headers& headers, routing::LoadReport& report);
+/// @brief Parses the header `X-Load: running,queued` that backend servers add to their responses.
+/// @return False if it is missing or malformed; `report` is then not valid.
+bool parseLoadHeader(const http::Headers& headers, routing::LoadReport& report);
 
 } // namespace foxtailwheel::daemon
--- a/src/foxtailwheel/daemon/LoadPoller.cpp
+++ b/src/foxtailwheel/daemon/LoadPoller.cpp
@@ -12,9 +12,9 @@
     using namespace std::chrono_literals;
 
     constexpr Duration pollTimeout = 800ms;
-    constexpr Duration freshReport = 1s;
-    constexpr std::size_t loadsAskedAtOnce = 8;
-    constexpr std::size_t eventsAskedAtOnce = 4;
+    constexpr Duration maxReportAge = 1s;
+    constexpr std::size_t maxLoadPolls = 8;
+    constexpr std::size_t maxCacheEventPolls = 4;
 
 } // namespace
 
@@ -25,8 +25,8 @@
 {
 }
 
-std::vector<LoadPoller::Target> LoadPoller::stalest(
-    const serving::Catalog& catalog, bool enginesOnly, std::map<BackendServerId, TimePoint>& asked, std::size_t most)
+std::vector<LoadPoller::Target> LoadPoller::selectStalest(const serving::Catalog& catalog, bool enginesOnly,
+    std::map<BackendServerId, TimePoint>& polledAt, std::size_t maxCount)
 {
     std::vector<Target> targets;
     const auto now = m_clock.now();
@@ -34,15 +34,16 @@
         if (enginesOnly && service.kind != config::ServiceKind::ModelEngine)
             continue;
         for (const auto& it : catalog.pools.at(service.id)->status()) {
-            const auto heardAt = std::max(asked[it.server.id], enginesOnly ? TimePoint() : it.reportedAt);
-            if (it.inSubset && now - heardAt >= freshReport)
-                targets.push_back({ service.id, it.server, heardAt });
+            const auto updatedAt = std::max(polledAt[it.server.id], enginesOnly ? TimePoint() : it.reportedAt);
+            if (it.inSubset && now - updatedAt >= maxReportAge)
+                targets.push_back({ service.id, it.server, updatedAt });
         }
     }
-    std::sort(targets.begin(), targets.end(), [](const Target& a, const Target& b) { return a.heardAt < b.heardAt; });
-    targets.resize(std::min(most, targets.size()));
+    std::sort(
+        targets.begin(), targets.end(), [](const Target& a, const Target& b) { return a.updatedAt < b.updatedAt; });
+    targets.resize(std::min(maxCount, targets.size()));
     for (const auto& it : targets)
-        asked[it.server.id] = now;
+        polledAt[it.server.id] = now;
     return targets;
 }
 
@@ -51,13 +52,13 @@
     const auto catalog = m_dispatcher.catalog();
     if (!catalog)
         return;
-    for (const auto& it : stalest(*catalog, false, m_loadAskedAt, loadsAskedAtOnce))
-        askLoad(it.service, it.server);
-    for (const auto& it : stalest(*catalog, true, m_eventsAskedAt, eventsAskedAtOnce))
-        askCacheEvents(it.service, it.server);
+    for (const auto& it : selectStalest(*catalog, false, m_loadPolledAt, maxLoadPolls))
+        pollLoad(it.service, it.server);
+    for (const auto& it : selectStalest(*catalog, true, m_eventsPolledAt, maxCacheEventPolls))
+        pollCacheEvents(it.service, it.server);
 }
 
-void LoadPoller::askLoad(const ServiceId& service, const config::BackendServer& server)
+void LoadPoller::pollLoad(const ServiceId& service, const config::BackendServer& server)
 {
     const auto until = m_clock.now() + pollTimeout;
     http::CallRequest call { { server.host, server.port }, { "GET", "/v1/load", {}, {} }, until, until, true };
@@ -65,18 +66,18 @@
     events.onDone = [this, service, id = server.id](const http::CallResult& result) {
         routing::LoadReport report;
         report.measuredAt = m_clock.now();
-        if (result.end == http::CallEnd::Complete && readLoadHeader(result.response.headers, report))
+        if (result.end == http::CallEnd::Complete && parseLoadHeader(result.response.headers, report))
             m_dispatcher.onLoadReport(service, id, report);
     };
     m_client.start(std::move(call), std::move(events));
 }
 
-void LoadPoller::askCacheEvents(const ServiceId& service, const config::BackendServer& server)
+void LoadPoller::pollCacheEvents(const ServiceId& service, const config::BackendServer& server)
 {
     std::uint64_t after = 0;
     {
         const std::lock_guard lock(m_mutex);
-        after = m_lastEvent[server.id];
+        after = m_lastEventSequence[server.id];
     }
     const auto until = m_clock.now() + pollTimeout;
     http::CallRequest call { { server.host, server.port },
@@ -90,7 +91,7 @@
             const routing::CacheEvent event { countAt(it, "sequence"), countAt(it, "prefix"), flagAt(it, "evicted") };
             m_dispatcher.onCacheEvent(service, id, event);
             const std::lock_guard lock(m_mutex);
-            m_lastEvent[id] = std::max(m_lastEvent[id], event.sequence);
+            m_lastEventSequence[id] = std::max(m_lastEventSequence[id], event.sequence);
         }
     };
     m_client.start(std::move(call), std::move(events));
--- a/src/foxtailwheel/daemon/LoadPoller.h
+++ b/src/foxtailwheel/daemon/LoadPoller.h
@@ -11,36 +11,36 @@
 
 namespace foxtailwheel::daemon {
 
-/// @brief Asks the backend servers that this instance uses for their load and their prefix-cache events.
+/// @brief Polls the backend servers that this instance uses for their load and their prefix-cache events.
 class LoadPoller {
 public:
     LoadPoller(http::Client& client, const Clock& clock, serving::Dispatcher& dispatcher);
 
-    /// @brief Asks the servers that were not heard of for the longest; called once a second.
+    /// @brief Polls the servers whose last report is the oldest; called once a second.
     ///
-    /// Busy servers tell their load with each response, so only idle ones are asked, and no more of them in a second
-    /// than the control budget of an instance allows.
+    /// Busy servers report their load in each response, so only idle ones are polled. Their number in a second is
+    /// bounded by the control traffic budget of an instance.
     void poll();
 
 private:
     struct Target {
         ServiceId service;
         config::BackendServer server;
-        TimePoint heardAt;
+        TimePoint updatedAt; ///< Time of the last report or poll.
     };
 
-    std::vector<Target> stalest(const serving::Catalog& catalog, bool enginesOnly,
-        std::map<BackendServerId, TimePoint>& asked, std::size_t most);
-    void askLoad(const ServiceId& service, const config::BackendServer& server);
-    void askCacheEvents(const ServiceId& service, const config::BackendServer& server);
+    std::vector<Target> selectStalest(const serving::Catalog& catalog, bool enginesOnly,
+        std::map<BackendServerId, TimePoint>& polledAt, std::size_t maxCount);
+    void pollLoad(const ServiceId& service, const config::BackendServer& server);
+    void pollCacheEvents(const ServiceId& service, const config::BackendServer& server);
 
     http::Client& m_client;
     const Clock& m_clock;
     serving::Dispatcher& m_dispatcher;
     std::mutex m_mutex;
-    std::map<BackendServerId, std::uint64_t> m_lastEvent;
-    std::map<BackendServerId, TimePoint> m_loadAskedAt;
-    std::map<BackendServerId, TimePoint> m_eventsAskedAt;
+    std::map<BackendServerId, std::uint64_t> m_lastEventSequence;
+    std::map<BackendServerId, TimePoint> m_loadPolledAt;
+    std::map<BackendServerId, TimePoint> m_eventsPolledAt;
 };
 
 } // namespace foxtailwheel::daemon
--- a/src/foxtailwheel/daemon/OperatorApi.cpp
+++ b/src/foxtailwheel/daemon/OperatorApi.cpp
@@ -15,7 +15,7 @@
     using nlohmann::json;
 
     constexpr Duration tableTimeout = 2s;
-    constexpr std::uint64_t mostRows = 1000;
+    constexpr std::uint64_t maxRows = 1000;
     constexpr std::size_t defaultRows = 50;
 
     http::Response jsonResponse(unsigned status, const json& body)
@@ -29,7 +29,7 @@
         return jsonResponse(status, { { "error", code }, { "message", message } });
     }
 
-    json faultsJson(const config::Faults& faults)
+    json errorsJson(const config::Faults& faults)
     {
         json rows = json::array();
         for (const auto& it : faults)
@@ -38,16 +38,16 @@
         return rows;
     }
 
-    std::vector<std::string> changesBetween(const std::string& before, const std::string& after)
+    std::vector<std::string> describeChanges(const std::string& before, const std::string& after)
     {
-        const auto old = before.empty() ? config::ParsedDeclarations() : config::parseDeclarations(before);
+        const auto previous = before.empty() ? config::ParsedDeclarations() : config::parseDeclarations(before);
         std::vector<std::string> lines;
-        for (const auto& it : config::difference(old.declarations, config::parseDeclarations(after).declarations))
+        for (const auto& it : config::difference(previous.declarations, config::parseDeclarations(after).declarations))
             lines.push_back(config::describe(it));
         return lines;
     }
 
-    std::uint64_t numberOf(const std::string& text, std::uint64_t fallback)
+    std::uint64_t parseNumber(const std::string& text, std::uint64_t fallback)
     {
         std::uint64_t n = fallback;
         std::from_chars(text.data(), text.data() + text.size(), n);
@@ -84,9 +84,9 @@
 
 bool OperatorApi::authorized(const http::Request& request) const
 {
-    const auto given = sha256Hex(http::findHeader(request.headers, "Authorization"));
-    const auto wanted = sha256Hex("Bearer " + m_settings.operatorToken);
-    return CRYPTO_memcmp(given.data(), wanted.data(), wanted.size()) == 0;
+    const auto received = sha256Hex(http::findHeader(request.headers, "Authorization"));
+    const auto expected = sha256Hex("Bearer " + m_settings.operatorToken);
+    return CRYPTO_memcmp(received.data(), expected.data(), expected.size()) == 0;
 }
 
 void OperatorApi::handle(const http::Request& request, const ResponderPtr& responder)
@@ -148,7 +148,7 @@
 
 void OperatorApi::showConfig(const http::Request& /*request*/, const ResponderPtr& responder)
 {
-    const auto current = m_configs.inForce();
+    const auto current = m_configs.activeConfig();
     responder->respond(jsonResponse(
         200, { { "version", current.version.value() }, { "hash", current.hash }, { "text", current.text } }));
 }
@@ -156,29 +156,29 @@
 void OperatorApi::applyConfig(const http::Request& request, const ResponderPtr& responder)
 {
     const auto body = json::parse(request.body, nullptr, false);
-    control::WantedChange wanted;
-    wanted.text = textAt(body, "text");
-    wanted.id = control::ChangeId(textAt(body, "change"));
-    wanted.author = textAt(body, "author");
-    wanted.note = textAt(body, "note");
-    const auto current = m_configs.inForce();
-    wanted.base = ConfigVersion(countAt(body, "base", current.version.value()));
-    if (wanted.text.empty() || wanted.id.empty() || wanted.author.empty()) {
-        responder->respond(errorResponse(400, "bad_change", "text, change and author are needed"));
+    control::WantedChange change;
+    change.text = textAt(body, "text");
+    change.id = control::ChangeId(textAt(body, "change"));
+    change.author = textAt(body, "author");
+    change.note = textAt(body, "note");
+    const auto current = m_configs.activeConfig();
+    change.base = ConfigVersion(countAt(body, "base", current.version.value()));
+    if (change.text.empty() || change.id.empty() || change.author.empty()) {
+        responder->respond(errorResponse(400, "bad_change", "text, change and author are required"));
         return;
     }
-    const auto parsed = config::parseDeclarations(wanted.text);
+    const auto parsed = config::parseDeclarations(change.text);
     if (!parsed.valid()) {
         responder->respond(jsonResponse(422,
-            { { "error", "invalid_config" }, { "message", "the text has faults" },
-                { "faults", faultsJson(parsed.faults) } }));
+            { { "error", "invalid_config" }, { "message", "the configuration text has errors" },
+                { "faults", errorsJson(parsed.faults) } }));
         return;
     }
-    wanted.summary = changesBetween(current.text, wanted.text);
-    if (wanted.base == current.version)
-        wanted.baseText = current.text;
-    const auto copy = wanted;
-    m_configs.apply(std::move(wanted), [this, copy, responder](const control::ApplyResult& result) {
+    change.summary = describeChanges(current.text, change.text);
+    if (change.base == current.version)
+        change.baseText = current.text;
+    const auto copy = change;
+    m_configs.apply(std::move(change), [this, copy, responder](const control::ApplyResult& result) {
         telemetry::logInfo("config_apply",
             { { "change", copy.id.value() }, { "author", copy.author },
                 { "end", std::to_string(static_cast<int>(result.end)) } });
@@ -188,40 +188,40 @@
                 jsonResponse(200, { { "version", result.version.value() }, { "summary", copy.summary } }));
             return;
         case control::ApplyEnd::Conflict:
-            answerConflict(copy, result, responder);
+            respondConflict(copy, result, responder);
             return;
         case control::ApplyEnd::Unavailable:
-            responder->respond(errorResponse(503, "table_unavailable", "not accepted: the table could not be asked"));
+            responder->respond(errorResponse(503, "table_unavailable", "not accepted: the table is unavailable"));
             return;
         case control::ApplyEnd::Ambiguous:
             responder->respond(
-                errorResponse(500, "ambiguous", "it may have been accepted: apply again with the same change id"));
+                errorResponse(500, "ambiguous", "the change may have been accepted: retry with the same change id"));
             return;
         }
     });
 }
 
-void OperatorApi::answerConflict(
-    const control::WantedChange& wanted, const control::ApplyResult& result, const ResponderPtr& responder)
+void OperatorApi::respondConflict(
+    const control::WantedChange& change, const control::ApplyResult& result, const ResponderPtr& responder)
 {
     const auto key = control::configTextKey(result.version);
-    m_table.read(key, m_clock.now() + tableTimeout, [wanted, result, responder](const store::ReadResult& read) {
+    m_table.read(key, m_clock.now() + tableTimeout, [change, result, responder](const store::ReadResult& read) {
         json body { { "error", "conflict" },
             { "message", "another change came first: edit version " + std::to_string(result.version.value()) },
-            { "base", wanted.base.value() }, { "version", result.version.value() } };
+            { "base", change.base.value() }, { "version", result.version.value() } };
         if (!read.rows.empty())
-            body["difference"] = changesBetween(read.rows.front().value, wanted.text);
+            body["difference"] = describeChanges(read.rows.front().value, change.text);
         responder->respond(jsonResponse(409, body));
     });
 }
 
-void OperatorApi::sendRows(std::string prefix, const http::Request& request, const ResponderPtr& responder)
+void OperatorApi::respondRows(std::string prefix, const http::Request& request, const ResponderPtr& responder)
 {
-    const auto limit = std::min(numberOf(request.query("limit"), defaultRows), mostRows);
+    const auto limit = std::min(parseNumber(request.query("limit"), defaultRows), maxRows);
     m_table.scan(std::move(prefix), request.query("after"), limit, m_clock.now() + tableTimeout,
         [responder](const store::ReadResult& result) {
             if (!result.answered) {
-                responder->respond(errorResponse(503, "table_unavailable", "the table could not be asked"));
+                responder->respond(errorResponse(503, "table_unavailable", "the table is unavailable"));
                 return;
             }
             json rows = json::array();
@@ -235,19 +235,19 @@
 
 void OperatorApi::history(const http::Request& request, const ResponderPtr& responder)
 {
-    // Without a place to begin, the latest changes are shown.
-    const auto limit = std::min(numberOf(request.query("limit"), defaultRows), mostRows);
+    // Without `after`, the latest changes are returned.
+    const auto limit = std::min(parseNumber(request.query("limit"), defaultRows), maxRows);
     const auto current = m_configs.version().value();
-    auto shown = request;
+    auto adjusted = request;
     if (request.query("after").empty() && current > limit)
-        shown.target = "/?limit=" + std::to_string(limit)
+        adjusted.target = "/?limit=" + std::to_string(limit)
             + "&after=" + http::percentEncode(control::configChangeKey(ConfigVersion(current - limit)));
-    sendRows("config/change/", shown, responder);
+    respondRows("config/change/", adjusted, responder);
 }
 
 void OperatorApi::audit(const http::Request& request, const ResponderPtr& responder)
 {
-    sendRows("audit/", request, responder);
+    respondRows("audit/", request, responder);
 }
 
 void OperatorApi::drain(const http::Request& request, const ResponderPtr& responder)
--- a/src/foxtailwheel/daemon/OperatorApi.h
+++ b/src/foxtailwheel/daemon/OperatorApi.h
@@ -14,7 +14,7 @@
 
 namespace foxtailwheel::daemon {
 
-/// @brief One live instance as operators see it.
+/// @brief A known instance, as reported to operators.
 struct MemberStatus {
     InstanceId id;
     AvailabilityZoneId zone;
@@ -22,14 +22,14 @@
     ConfigVersion version;
 };
 
-/// @brief What the operators' interface asks of the instance.
+/// @brief Access of the operators' API to its instance.
 struct OperatorHooks {
     std::function<std::string()> state;
     std::function<std::vector<MemberStatus>()> members;
     std::function<void()> drain;
 };
 
-/// @brief The operators' interface, behind a token, on an address of its own.
+/// @brief HTTP API of the operators, authenticated by a token, on a separate address.
 class OperatorApi {
 public:
     OperatorApi(const config::Settings& settings, const Clock& clock, serving::Dispatcher& dispatcher,
@@ -57,9 +57,9 @@
     void history(const http::Request& request, const ResponderPtr& responder);
     void audit(const http::Request& request, const ResponderPtr& responder);
     void drain(const http::Request& request, const ResponderPtr& responder);
-    void answerConflict(
-        const control::WantedChange& wanted, const control::ApplyResult& result, const ResponderPtr& responder);
-    void sendRows(std::string prefix, const http::Request& request, const ResponderPtr& responder);
+    void respondConflict(
+        const control::WantedChange& change, const control::ApplyResult& result, const ResponderPtr& responder);
+    void respondRows(std::string prefix, const http::Request& request, const ResponderPtr& responder);
 
     const config::Settings& m_settings;
     const Clock& m_clock;
--- a/src/foxtailwheel/daemon/OrderService.cpp
+++ b/src/foxtailwheel/daemon/OrderService.cpp
@@ -10,30 +10,30 @@
     using namespace std::chrono_literals;
 
     constexpr Duration tableTimeout = 1s;
-    /// Shorter than `LeaseOptions::longestOrder`, which a new holder waits out.
+    /// Shorter than `LeaseOptions::maxOrderDuration`, the time that a new lease holder waits for earlier orders to end.
     constexpr Duration orderTimeout = 4s;
-    constexpr Duration repeatPeriod = 30s;
-    /// Orders on their way at once: the weight store serves few loads at a time.
-    constexpr std::size_t mostOrders = 2;
+    constexpr Duration resendPeriod = 30s;
+    /// Concurrent orders of a pool: the weight store serves few loads at a time.
+    constexpr std::size_t maxOrdersInFlight = 2;
 
 } // namespace
 
-/// One pool with its lease and what its engines were told.
+/// A pool with its lease, the last accepted orders of its engines, and the orders in flight.
 struct OrderService::Pool {
     Pool(const ServiceId& id, const InstanceId& self)
         : lease(id, self, {})
     {
     }
 
-    struct Told {
+    struct AcceptedOrder {
         std::string model;
-        TimePoint at;
+        TimePoint acceptedAt;
     };
 
     std::mutex mutex;
     control::Lease lease;
-    std::map<BackendServerId, Told> told;
-    std::set<BackendServerId> onTheirWay;
+    std::map<BackendServerId, AcceptedOrder> acceptedOrders;
+    std::set<BackendServerId> ordersInFlight;
 };
 
 OrderService::OrderService(store::Table& table, http::Client& client, const Clock& clock,
@@ -47,28 +47,28 @@
 {
 }
 
-void OrderService::tick(const std::function<bool(const ServiceId&)>& contends)
+void OrderService::tick(const std::function<bool(const ServiceId&)>& isContender)
 {
     const auto catalog = m_dispatcher.catalog();
     if (!catalog)
         return;
     for (const auto& service : catalog->declarations->services) {
-        if (service.model.empty() || !contends(service.id))
+        if (service.model.empty() || !isContender(service.id))
             continue;
         std::shared_ptr<Pool> pool;
         {
             const std::lock_guard lock(m_mutex);
-            auto& known = m_pools[service.id];
-            if (!known)
-                known = std::make_shared<Pool>(service.id, m_self);
-            pool = known;
+            auto& entry = m_pools[service.id];
+            if (!entry)
+                entry = std::make_shared<Pool>(service.id, m_self);
+            pool = entry;
         }
-        advance(pool);
-        order(pool, service);
+        advanceLease(pool);
+        sendDueOrders(pool, service);
     }
 }
 
-void OrderService::advance(const std::shared_ptr<Pool>& pool)
+void OrderService::advanceLease(const std::shared_ptr<Pool>& pool)
 {
     const std::lock_guard lock(pool->mutex);
     const auto now = m_clock.now();
@@ -92,27 +92,27 @@
     }
 }
 
-void OrderService::order(const std::shared_ptr<Pool>& pool, const config::Service& service)
+void OrderService::sendDueOrders(const std::shared_ptr<Pool>& pool, const config::Service& service)
 {
     const std::lock_guard lock(pool->mutex);
-    const bool checked = service.fencing == config::Fencing::Checked;
+    const bool fencingChecked = service.fencing == config::Fencing::Checked;
     for (const auto& server : service.servers) {
         const auto now = m_clock.now();
-        // Asked again right before each order.
-        const auto fencing = pool->lease.mayOrder(now, checked);
-        if (!fencing || pool->onTheirWay.size() >= mostOrders)
+        // Checked before each order, because the lease may expire in between.
+        const auto fencing = pool->lease.mayOrder(now, fencingChecked);
+        if (!fencing || pool->ordersInFlight.size() >= maxOrdersInFlight)
             return;
-        const auto it = pool->told.find(server.id);
-        const bool done
-            = it != pool->told.end() && it->second.model == service.model && now - it->second.at < repeatPeriod;
-        if (done || pool->onTheirWay.contains(server.id))
+        const auto it = pool->acceptedOrders.find(server.id);
+        const bool upToDate = it != pool->acceptedOrders.end() && it->second.model == service.model
+            && now - it->second.acceptedAt < resendPeriod;
+        if (upToDate || pool->ordersInFlight.contains(server.id))
             continue;
-        pool->onTheirWay.insert(server.id);
-        send(pool, service, server, *fencing);
+        pool->ordersInFlight.insert(server.id);
+        sendOrder(pool, service, server, *fencing);
     }
 }
 
-void OrderService::send(const std::shared_ptr<Pool>& pool, const config::Service& service,
+void OrderService::sendOrder(const std::shared_ptr<Pool>& pool, const config::Service& service,
     const config::BackendServer& server, FencingNumber fencing)
 {
     const nlohmann::json body { { "model", service.model }, { "fencing", fencing.value() } };
@@ -121,12 +121,12 @@
         { "POST", "/v1/orders", { { "Content-Type", "application/json" } }, body.dump() }, until, until, false };
     http::CallEvents events;
     events.onDone = [this, pool, id = server.id, model = service.model](const http::CallResult& result) {
-        const bool taken = result.end == http::CallEnd::Complete && result.response.status == 200;
-        m_metrics.count("foxtailwheel_orders_total", { { "result", taken ? "taken" : "refused" } });
+        const bool accepted = result.end == http::CallEnd::Complete && result.response.status == 200;
+        m_metrics.count("foxtailwheel_orders_total", { { "result", accepted ? "taken" : "refused" } });
         const std::lock_guard lock(pool->mutex);
-        pool->onTheirWay.erase(id);
-        if (taken)
-            pool->told[id] = { model, m_clock.now() };
+        pool->ordersInFlight.erase(id);
+        if (accepted)
+            pool->acceptedOrders[id] = { model, m_clock.now() };
     };
     m_client.start(std::move(call), std::move(events));
 }
--- a/src/foxtailwheel/daemon/OrderService.h
+++ b/src/foxtailwheel/daemon/OrderService.h
@@ -14,26 +14,27 @@
 
 namespace foxtailwheel::daemon {
 
-/// @brief Keeps the model engines of each pool on the declared model, through one lease for each pool.
+/// @brief Orders the model engines of each pool to load the declared model; one lease for each pool selects the
+/// instance that sends the orders.
 ///
-/// Orders are level-triggered: the declared model is told again until the engine has it, and telling it twice does no
-/// harm.
+/// Orders are level-triggered and idempotent: the declared model is sent until the engine accepts it, and periodically
+/// after that.
 class OrderService {
 public:
     OrderService(store::Table& table, http::Client& client, const Clock& clock, serving::Dispatcher& dispatcher,
         telemetry::Metrics& metrics, InstanceId self);
 
-    /// @brief Lets time pass; called once a second.
-    /// @param contends Says whether this instance is one of the few that contend for a pool's lease.
-    void tick(const std::function<bool(const ServiceId&)>& contends);
+    /// @brief Advances the leases and sends due orders; called once a second.
+    /// @param isContender Returns whether this instance is one of the few that contend for a pool's lease.
+    void tick(const std::function<bool(const ServiceId&)>& isContender);
 
 private:
     struct Pool;
 
-    void advance(const std::shared_ptr<Pool>& pool);
-    void order(const std::shared_ptr<Pool>& pool, const config::Service& service);
-    void send(const std::shared_ptr<Pool>& pool, const config::Service& service, const config::BackendServer& server,
-        FencingNumber fencing);
+    void advanceLease(const std::shared_ptr<Pool>& pool);
+    void sendDueOrders(const std::shared_ptr<Pool>& pool, const config::Service& service);
+    void sendOrder(const std::shared_ptr<Pool>& pool, const config::Service& service,
+        const config::BackendServer& server, FencingNumber fencing);
 
     store::Table& m_table;
     http::Client& m_client;
