--- a/include/foxtailwheel/daemon/PeerLink.h
+++ b/include/foxtailwheel/daemon/PeerLink.h
@@ -34,7 +34,7 @@
     /// @param self Id, listen address, zone and cores of this instance; the incarnation is set from the wall clock.
     /// @param key Shared secret of all instances.
     static Result<std::unique_ptr<PeerLink>> open(http::IoPool& pool, const Clock& clock, membership::Member self,
-        std::string key, std::uint64_t seed, PeerLinkEvents events);
+        std::string key, std::uint64_t seed, PeerLinkEvents callbacks);
     ~PeerLink();
     PeerLink(const PeerLink&) = delete;
     PeerLink& operator=(const PeerLink&) = delete;
--- a/src/foxtailwheel/daemon/ConfigService.h
+++ b/src/foxtailwheel/daemon/ConfigService.h
@@ -23,7 +23,8 @@
     std::string hash; ///< SHA-256 of the text.
 };
 
-/// @brief Fetches the text of `version` from a peer; `currentVersion` is the local one, for patches.
+/// @brief Fetches the text of `version` from a peer, or the patches that lead to it from `currentVersion`, the local
+/// one.
 using FetchFromPeer = std::function<void(const InstanceId& peer, ConfigVersion version, ConfigVersion currentVersion,
     std::function<void(peer::ConfigReply)> done)>;
 
--- a/src/foxtailwheel/daemon/PeerLink.cpp
+++ b/src/foxtailwheel/daemon/PeerLink.cpp
@@ -40,7 +40,7 @@
         : pool(p)
         , clock(c)
         , membership(std::move(self), {}, seed)
-        , events(std::move(e))
+        , callbacks(std::move(e))
     {
     }
 
@@ -54,7 +54,7 @@
     http::IoPool& pool;
     const Clock& clock;
     membership::Membership membership;
-    PeerLinkEvents events;
+    PeerLinkEvents callbacks;
     std::unique_ptr<peer::Network> transport;
     std::vector<InstanceId> live;
     std::vector<InstanceId> owners;
@@ -108,7 +108,7 @@
     unavailable = newUnavailable;
     telemetry::logInfo(
         "members_changed", { { "live", std::to_string(live.size()) }, { "gone", std::to_string(unavailable.size()) } });
-    events.members(live, owners, unavailable);
+    callbacks.members(live, owners, unavailable);
     updatePoller();
 }
 
@@ -125,14 +125,14 @@
     if (std::exchange(isPoller, shouldPoll) == shouldPoll)
         return;
     telemetry::logInfo("poller_changed", { { "asking", shouldPoll ? "1" : "0" } });
-    events.pollerChanged(shouldPoll);
+    callbacks.pollerChanged(shouldPoll);
 }
 
 void PeerLink::Impl::onConnectionClosed(const config::Endpoint& address)
 {
     for (const auto& it : membership.members()) {
         if (it.peers == address)
-            events.connectionLost(it.id);
+            callbacks.connectionLost(it.id);
     }
 }
 
@@ -144,9 +144,9 @@
     else if (const auto* ack = std::get_if<membership::Ack>(&message))
         membership.onAck(*ack, clock.now(), actions);
     else if (const auto* piece = std::get_if<peer::PieceNews>(&message))
-        events.pieces(piece->sender.id, piece->news);
+        callbacks.pieces(piece->sender.id, piece->news);
     else if (const auto* table = std::get_if<peer::TableNews>(&message))
-        events.tableNews({ table->table, table->after, table->answer });
+        callbacks.tableNews({ table->table, table->after, table->answer });
     execute(actions);
 }
 
@@ -161,11 +161,11 @@
 }
 
 Result<std::unique_ptr<PeerLink>> PeerLink::open(http::IoPool& pool, const Clock& clock, membership::Member self,
-    std::string key, std::uint64_t seed, PeerLinkEvents events)
+    std::string key, std::uint64_t seed, PeerLinkEvents callbacks)
 {
     self.incarnation = Incarnation(static_cast<std::uint64_t>(clock.wallNow().time_since_epoch().count()));
     const auto address = self.peers;
-    auto impl = std::make_shared<Impl>(pool, clock, std::move(self), seed, std::move(events));
+    auto impl = std::make_shared<Impl>(pool, clock, std::move(self), seed, std::move(callbacks));
     // Frames are received on strands of the pool's single thread.
     auto transport = peer::Network::listen(
         pool, address, std::move(key), [impl = impl.get()](const peer::Message& message) { impl->onMessage(message); });
