--- a/include/foxtailwheel/standin/Backend.h
+++ b/include/foxtailwheel/standin/Backend.h
@@ -9,24 +9,25 @@
 
 namespace foxtailwheel::standin {
 
-/// @brief How fast a backend stand-in works.
+/// @brief Declared server and simulated speed of a backend stand-in.
 struct BackendOptions {
     config::Service service;
     config::BackendServer server;
-    Duration callTime {}; ///< Time of one call that is not streamed.
-    Duration tokenTime {}; ///< Time of one token.
+    Duration callTime {}; ///< Duration of a call without streaming.
+    Duration tokenTime {}; ///< Time between tokens of a stream.
 };
 
-/// @brief A backend server of any kind. Answers are derived from the request, so that a caller can check its own.
+/// @brief Starts a fake backend server of any service kind. Responses are a function of the request, so that a client
+/// can verify that it received the response to its own request.
 ///
-/// Besides its own interface: `GET /v1/load`, `GET /v1/cache-events`, `GET /v1/executions`, `POST /v1/faults`,
+/// Further endpoints: `GET /v1/load`, `GET /v1/cache-events`, `GET /v1/executions`, `POST /v1/faults` and
 /// `POST /v1/orders`.
 Result<std::unique_ptr<StandIn>> startBackend(http::IoPool& pool, BackendOptions options);
 
-/// @brief Token `index` that every engine gives for `prompt`.
-std::string tokenOf(const std::string& prompt, std::uint64_t index);
+/// @brief Returns the token at `index` that every model engine generates for `prompt`.
+std::string generatedToken(const std::string& prompt, std::uint64_t index);
 
-/// @brief The first `count` tokens for `prompt`, joined.
+/// @brief Returns the first `count` tokens for `prompt`, concatenated.
 std::string textOf(const std::string& prompt, std::uint64_t count);
 
 } // namespace foxtailwheel::standin
--- a/include/foxtailwheel/standin/Platform.h
+++ b/include/foxtailwheel/standin/Platform.h
@@ -9,29 +9,31 @@
 
 namespace foxtailwheel::standin {
 
-/// @brief A running stand-in; stops when it is destroyed.
+/// @brief Running fake server of a platform service; the destructor stops it.
 class StandIn {
 public:
     virtual ~StandIn() = default;
 };
 
-/// @brief Limits of the table stand-in.
+/// @brief Options of the table stand-in; requests over a rate limit are refused.
 struct TableOptions {
     config::Endpoint listen;
     double readsPerSecond = 2000;
     double writesPerSecond = 500;
 };
 
-/// @brief Table service: conditional transactions over rows with versions, kept in memory.
+/// @brief Starts an in-memory table service with conditional transactions over versioned rows.
 ///
-/// `POST /v1/faults` sets faults: `close_after` applies a write and loses the answer, `refuse` is an outage.
+/// `POST /v1/faults` injects faults: `close_after` applies a write and drops the response, `refuse` simulates an
+/// outage.
 Result<std::unique_ptr<StandIn>> startTable(http::IoPool& pool, const Clock& clock, const TableOptions& options);
 
-/// @brief List of live instances; entries lapse, and changes show only after `lag`.
+/// @brief Starts a list of live instances. Entries expire unless they are refreshed, and new entries become visible
+/// after `propagationDelay`.
 Result<std::unique_ptr<StandIn>> startInstanceList(
-    http::IoPool& pool, const Clock& clock, config::Endpoint listen, Duration lag);
+    http::IoPool& pool, const Clock& clock, config::Endpoint listen, Duration propagationDelay);
 
-/// @brief Store of model weights that serves one load at a time for each slot and refuses the rest.
+/// @brief Starts a store of model weights that serves at most `loadsPerSecond` requests and refuses the rest.
 Result<std::unique_ptr<StandIn>> startWeightStore(
     http::IoPool& pool, const Clock& clock, config::Endpoint listen, double loadsPerSecond);
 
--- a/src/foxtailwheel/standin/Backend.cpp
+++ b/src/foxtailwheel/standin/Backend.cpp
@@ -3,7 +3,7 @@
 #include "foxtailwheel/base/Hash.h"
 #include "foxtailwheel/base/Json.h"
 #include "foxtailwheel/http/Server.h"
-#include "foxtailwheel/standin/Faults.h"
+#include "foxtailwheel/standin/FaultInjector.h"
 
 #include <array>
 #include <atomic>
@@ -23,37 +23,37 @@
     using nlohmann::json;
 
     constexpr std::size_t tokensPerChunk = 4;
-    constexpr std::uint64_t mostTokens = 4096;
-    constexpr std::size_t cacheCapacity = 256;
+    constexpr std::uint64_t maxTokens = 4096;
+    constexpr std::size_t cacheEventCapacity = 256;
 
-    std::string chunkOf(const std::string& prompt, std::uint64_t from, std::uint64_t to)
+    std::string makeChunk(const std::string& prompt, std::uint64_t from, std::uint64_t to)
     {
         std::string chunk;
         for (auto i = from; i < to; ++i) {
             const json event { { "choices",
-                { { { "index", 0 }, { "offset", i }, { "text", tokenOf(prompt, i) },
+                { { { "index", 0 }, { "offset", i }, { "text", generatedToken(prompt, i) },
                     { "finish_reason", nullptr } } } } };
             chunk += "data: " + event.dump() + "\n\n";
         }
         return chunk;
     }
 
-    std::string endOf(std::uint64_t total)
+    std::string makeFinalChunk(std::uint64_t tokenCount)
     {
         const json event { { "choices", { { { "index", 0 }, { "text", "" }, { "finish_reason", "stop" } } } },
-            { "usage", { { "completion_tokens", total } } } };
+            { "usage", { { "completion_tokens", tokenCount } } } };
         return "data: " + event.dump() + "\n\ndata: [DONE]\n\n";
     }
 
-    /// One call that is being worked on.
-    struct Work {
+    /// Call that is queued or running.
+    struct Call {
         Request request;
         std::shared_ptr<Responder> responder;
         std::optional<Fault> fault;
         std::string prompt;
-        std::uint64_t next = 0;
-        std::uint64_t total = 0;
-        std::atomic<bool> gone { false };
+        std::uint64_t nextToken = 0;
+        std::uint64_t tokenCount = 0;
+        std::atomic<bool> disconnected { false };
     };
 
     class BackendStandIn final : public StandIn {
@@ -65,69 +65,69 @@
         }
 
         void handle(Request request, const std::shared_ptr<Responder>& responder);
-        void own(std::unique_ptr<http::Server> server) { m_server = std::move(server); }
+        void setServer(std::unique_ptr<http::Server> server) { m_server = std::move(server); }
 
     private:
-        using WorkPtr = std::shared_ptr<Work>;
+        using CallPtr = std::shared_ptr<Call>;
 
         bool handleAdmin(const Request& request, const std::shared_ptr<Responder>& responder);
-        void accept(const WorkPtr& work);
-        void begin(const WorkPtr& work);
-        void finishPlain(const WorkPtr& work);
-        void beginStream(const WorkPtr& work);
-        void continueStream(const WorkPtr& work);
-        void ended();
-        std::string answerOf(const Request& request) const;
-        void countExecution(const Request& request);
-        void noteCached(const std::string& prompt);
+        void enqueueOrStart(const CallPtr& call);
+        void start(const CallPtr& call);
+        void finishUnary(const CallPtr& call);
+        void startStream(const CallPtr& call);
+        void sendNextChunk(const CallPtr& call);
+        void releaseSlot();
+        std::string makeResponseBody(const Request& request) const;
+        void recordExecution(const Request& request);
+        void recordCachedPrefix(const std::string& prompt);
         http::Response cacheEvents(const Request& request);
         http::Response executions();
-        http::Response order(const Request& request);
-        http::Headers loadHeader();
+        http::Response handleOrder(const Request& request);
+        http::Headers loadHeaders();
 
         http::IoPool& m_pool;
         BackendOptions m_options;
         std::mutex m_mutex;
-        FaultPlan m_faults;
-        std::uint32_t m_running = 0;
-        std::deque<WorkPtr> m_queue;
+        FaultInjector m_faults;
+        std::uint32_t m_runningCalls = 0;
+        std::deque<CallPtr> m_queue;
         std::map<std::string, std::uint64_t> m_executions;
         std::uint64_t m_executionCount = 0;
         std::uint64_t m_cacheSequence = 0;
         std::deque<std::pair<std::uint64_t, std::uint64_t>> m_cacheEvents;
-        std::uint64_t m_highestFencing = 0;
+        std::uint64_t m_highestFencingToken = 0;
         std::string m_model;
         std::unique_ptr<http::Server> m_server;
     };
 
-    http::Headers BackendStandIn::loadHeader()
+    http::Headers BackendStandIn::loadHeaders()
     {
         const std::lock_guard lock(m_mutex);
         return { { "Content-Type", "application/json" },
-            { "X-Load", std::to_string(m_running) + "," + std::to_string(m_queue.size()) } };
+            { "X-Load", std::to_string(m_runningCalls) + "," + std::to_string(m_queue.size()) } };
     }
 
     void BackendStandIn::handle(Request request, const std::shared_ptr<Responder>& responder)
     {
         if (handleAdmin(request, responder))
             return;
-        auto work = std::make_shared<Work>();
-        work->fault = m_faults.next();
-        work->responder = responder;
-        work->request = std::move(request);
-        if (work->fault && work->fault->kind == FaultKind::CloseBefore) {
+        auto call = std::make_shared<Call>();
+        call->fault = m_faults.nextFault();
+        call->responder = responder;
+        call->request = std::move(request);
+        if (call->fault && call->fault->kind == FaultKind::CloseBefore) {
             responder->abort();
             return;
         }
-        if (work->fault && work->fault->kind == FaultKind::Refuse) {
+        if (call->fault && call->fault->kind == FaultKind::Refuse) {
             responder->respond({ 503, { { "X-Not-Started", "1" } }, "busy" });
             return;
         }
-        if (work->fault && work->fault->kind == FaultKind::Fail) {
+        if (call->fault && call->fault->kind == FaultKind::Fail) {
             responder->respond({ 500, {}, "failed" });
             return;
         }
-        accept(work);
+        enqueueOrStart(call);
     }
 
     bool BackendStandIn::handleAdmin(const Request& request, const std::shared_ptr<Responder>& responder)
@@ -136,134 +136,134 @@
         if (path == "/v1/faults")
             responder->respond({ m_faults.setFromJson(request.body) ? 200U : 400U, {}, {} });
         else if (path == "/v1/load")
-            responder->respond({ 200, loadHeader(), "{}" });
+            responder->respond({ 200, loadHeaders(), "{}" });
         else if (path == "/v1/cache-events")
             responder->respond(cacheEvents(request));
         else if (path == "/v1/executions")
             responder->respond(executions());
         else if (path == "/v1/orders")
-            responder->respond(order(request));
+            responder->respond(handleOrder(request));
         else
             return false;
         return true;
     }
 
-    void BackendStandIn::accept(const WorkPtr& work)
+    void BackendStandIn::enqueueOrStart(const CallPtr& call)
     {
-        work->responder->onGone([weak = std::weak_ptr<Work>(work)] {
+        call->responder->onGone([weak = std::weak_ptr<Call>(call)] {
             if (const auto it = weak.lock())
-                it->gone = true;
+                it->disconnected = true;
         });
         {
             const std::lock_guard lock(m_mutex);
-            if (m_running >= m_options.service.concurrency) {
-                m_queue.push_back(work);
+            if (m_runningCalls >= m_options.service.concurrency) {
+                m_queue.push_back(call);
                 return;
             }
-            ++m_running;
+            ++m_runningCalls;
         }
-        begin(work);
+        start(call);
     }
 
-    void BackendStandIn::ended()
+    void BackendStandIn::releaseSlot()
     {
-        WorkPtr work;
+        CallPtr call;
         {
             const std::lock_guard lock(m_mutex);
             if (m_queue.empty()) {
-                --m_running;
+                --m_runningCalls;
                 return;
             }
-            work = std::move(m_queue.front());
+            call = std::move(m_queue.front());
             m_queue.pop_front();
         }
-        begin(work);
+        start(call);
     }
 
-    void BackendStandIn::begin(const WorkPtr& work)
+    void BackendStandIn::start(const CallPtr& call)
     {
         if (m_options.service.kind == config::ServiceKind::ModelEngine) {
-            beginStream(work);
+            startStream(call);
             return;
         }
-        countExecution(work->request);
-        const bool late = work->fault && work->fault->kind == FaultKind::Late;
+        recordExecution(call->request);
+        const bool delayed = call->fault && call->fault->kind == FaultKind::Late;
         m_pool.after(
-            m_options.callTime + (late ? work->fault->delay : Duration {}), [this, work] { finishPlain(work); });
+            m_options.callTime + (delayed ? call->fault->delay : Duration {}), [this, call] { finishUnary(call); });
     }
 
-    void BackendStandIn::finishPlain(const WorkPtr& work)
+    void BackendStandIn::finishUnary(const CallPtr& call)
     {
-        const auto kind = work->fault ? work->fault->kind : FaultKind::Late;
-        http::Response response { 200, loadHeader(), answerOf(work->request) };
+        const auto kind = call->fault ? call->fault->kind : FaultKind::Late;
+        http::Response response { 200, loadHeaders(), makeResponseBody(call->request) };
         if (kind == FaultKind::CloseAfter) {
-            work->responder->abort();
+            call->responder->abort();
         } else if (kind == FaultKind::CloseMiddle) {
-            work->responder->beginStream({ 200, response.headers, {} });
-            work->responder->write(response.body.substr(0, response.body.size() / 2));
-            work->responder->abort();
+            call->responder->beginStream({ 200, response.headers, {} });
+            call->responder->write(response.body.substr(0, response.body.size() / 2));
+            call->responder->abort();
         } else if (kind != FaultKind::Silent) {
-            work->responder->respond(std::move(response));
+            call->responder->respond(std::move(response));
         }
-        ended();
+        releaseSlot();
     }
 
-    void BackendStandIn::beginStream(const WorkPtr& work)
+    void BackendStandIn::startStream(const CallPtr& call)
     {
-        const auto body = json::parse(work->request.body, nullptr, false);
-        work->prompt = body.is_object() && body.contains("prompt") ? body["prompt"].dump() : "";
-        work->total = std::min(countAt(body, "max_tokens"), mostTokens);
-        work->next = body.is_object() && body.contains("resume") ? countAt(body["resume"], "offset") : 0;
-        noteCached(work->prompt);
-        countExecution(work->request);
-        auto headers = loadHeader();
+        const auto body = json::parse(call->request.body, nullptr, false);
+        call->prompt = body.is_object() && body.contains("prompt") ? body["prompt"].dump() : "";
+        call->tokenCount = std::min(countAt(body, "max_tokens"), maxTokens);
+        call->nextToken = body.is_object() && body.contains("resume") ? countAt(body["resume"], "offset") : 0;
+        recordCachedPrefix(call->prompt);
+        recordExecution(call->request);
+        auto headers = loadHeaders();
         headers.front().value = "text/event-stream";
-        work->responder->beginStream({ 200, std::move(headers), {} });
-        const bool late = work->fault && work->fault->kind == FaultKind::Late;
-        m_pool.after(late ? work->fault->delay : Duration {}, [this, work] { continueStream(work); });
+        call->responder->beginStream({ 200, std::move(headers), {} });
+        const bool delayed = call->fault && call->fault->kind == FaultKind::Late;
+        m_pool.after(delayed ? call->fault->delay : Duration {}, [this, call] { sendNextChunk(call); });
     }
 
-    void BackendStandIn::continueStream(const WorkPtr& work)
+    void BackendStandIn::sendNextChunk(const CallPtr& call)
     {
-        const auto kind = work->fault ? work->fault->kind : FaultKind::Late;
-        const bool half = work->next * 2 >= work->total;
-        if (work->gone || (half && kind == FaultKind::Silent)) {
-            ended();
+        const auto kind = call->fault ? call->fault->kind : FaultKind::Late;
+        const bool halfSent = call->nextToken * 2 >= call->tokenCount;
+        if (call->disconnected || (halfSent && kind == FaultKind::Silent)) {
+            releaseSlot();
             return;
         }
-        if (half && (kind == FaultKind::CloseMiddle || kind == FaultKind::CloseAfter)) {
-            work->responder->abort();
-            ended();
+        if (halfSent && (kind == FaultKind::CloseMiddle || kind == FaultKind::CloseAfter)) {
+            call->responder->abort();
+            releaseSlot();
             return;
         }
-        if (work->next >= work->total) {
-            work->responder->write(endOf(work->total));
-            work->responder->endStream();
-            ended();
+        if (call->nextToken >= call->tokenCount) {
+            call->responder->write(makeFinalChunk(call->tokenCount));
+            call->responder->endStream();
+            releaseSlot();
             return;
         }
-        const auto to = std::min<std::uint64_t>(work->total, work->next + tokensPerChunk);
-        work->responder->write(chunkOf(work->prompt, work->next, to));
-        const auto n = to - work->next;
-        work->next = to;
-        m_pool.after(m_options.tokenTime * n, [this, work] { continueStream(work); });
+        const auto to = std::min<std::uint64_t>(call->tokenCount, call->nextToken + tokensPerChunk);
+        call->responder->write(makeChunk(call->prompt, call->nextToken, to));
+        const auto n = to - call->nextToken;
+        call->nextToken = to;
+        m_pool.after(m_options.tokenTime * n, [this, call] { sendNextChunk(call); });
     }
 
-    std::string BackendStandIn::answerOf(const Request& request) const
+    std::string BackendStandIn::makeResponseBody(const Request& request) const
     {
         const auto body = json::parse(request.body, nullptr, false);
-        json answer { { "service", m_options.service.id.value() }, { "server", m_options.server.id.value() } };
-        const auto asked = body.is_object() && body.contains("request") ? body["request"] : json();
-        answer["echo"] = asked;
-        answer["digest"] = sha256Hex(asked.dump()).substr(0, 16);
+        json response { { "service", m_options.service.id.value() }, { "server", m_options.server.id.value() } };
+        const auto clientRequest = body.is_object() && body.contains("request") ? body["request"] : json();
+        response["echo"] = clientRequest;
+        response["digest"] = sha256Hex(clientRequest.dump()).substr(0, 16);
         if (m_options.service.kind == config::ServiceKind::Retriever
             || m_options.service.kind == config::ServiceKind::Reranker)
-            answer["documents"]
-                = { answer["digest"].get<std::string>() + "-1", answer["digest"].get<std::string>() + "-2" };
-        return answer.dump();
+            response["documents"]
+                = { response["digest"].get<std::string>() + "-1", response["digest"].get<std::string>() + "-2" };
+        return response.dump();
     }
 
-    void BackendStandIn::countExecution(const Request& request)
+    void BackendStandIn::recordExecution(const Request& request)
     {
         const std::string key(http::findHeader(request.headers, "Idempotency-Key"));
         const std::lock_guard lock(m_mutex);
@@ -278,11 +278,11 @@
         return { 200, {}, json { { "total", m_executionCount }, { "by_key", m_executions } }.dump() };
     }
 
-    void BackendStandIn::noteCached(const std::string& prompt)
+    void BackendStandIn::recordCachedPrefix(const std::string& prompt)
     {
         const std::lock_guard lock(m_mutex);
         m_cacheEvents.emplace_back(++m_cacheSequence, hashOf(prompt.substr(0, 256)));
-        if (m_cacheEvents.size() > cacheCapacity)
+        if (m_cacheEvents.size() > cacheEventCapacity)
             m_cacheEvents.pop_front();
     }
 
@@ -300,21 +300,21 @@
         return { 200, {}, json { { "events", events } }.dump() };
     }
 
-    http::Response BackendStandIn::order(const Request& request)
+    http::Response BackendStandIn::handleOrder(const Request& request)
     {
         const auto body = json::parse(request.body, nullptr, false);
-        const auto fencing = countAt(body, "fencing");
+        const auto fencingToken = countAt(body, "fencing");
         const std::lock_guard lock(m_mutex);
-        if (m_options.service.fencing == config::Fencing::Checked && fencing < m_highestFencing)
-            return { 409, {}, json { { "fencing", m_highestFencing } }.dump() };
-        m_highestFencing = std::max(m_highestFencing, fencing);
+        if (m_options.service.fencing == config::Fencing::Checked && fencingToken < m_highestFencingToken)
+            return { 409, {}, json { { "fencing", m_highestFencingToken } }.dump() };
+        m_highestFencingToken = std::max(m_highestFencingToken, fencingToken);
         m_model = textAt(body, "model", m_model);
-        return { 200, {}, json { { "model", m_model }, { "fencing", m_highestFencing } }.dump() };
+        return { 200, {}, json { { "model", m_model }, { "fencing", m_highestFencingToken } }.dump() };
     }
 
 } // namespace
 
-std::string tokenOf(const std::string& prompt, std::uint64_t index)
+std::string generatedToken(const std::string& prompt, std::uint64_t index)
 {
     constexpr std::array<std::string_view, 16> words { "net", "string", "cherry", "chord", "orchard", "tune", "row",
         "fret", "leaf", "pick", "bird", "scale", "root", "note", "branch", "bow" };
@@ -325,7 +325,7 @@
 {
     std::string text;
     for (std::uint64_t i = 0; i < count; ++i)
-        text += tokenOf(prompt, i);
+        text += generatedToken(prompt, i);
     return text;
 }
 
@@ -341,7 +341,7 @@
         http::Server::listen(pool, serverOptions, [raw](Request request, const std::shared_ptr<Responder>& responder) {
             raw->handle(std::move(request), responder);
         }));
-    backend->own(std::move(server));
+    backend->setServer(std::move(server));
     return std::unique_ptr<StandIn>(std::move(backend));
 }
 
--- a/src/foxtailwheel/standin/Faults.cpp
+++ b/src/foxtailwheel/standin/FaultInjector.cpp
@@ -1,4 +1,4 @@
-#include "foxtailwheel/standin/Faults.h"
+#include "foxtailwheel/standin/FaultInjector.h"
 
 #include "foxtailwheel/base/Json.h"
 
@@ -14,30 +14,30 @@
 
 } // namespace
 
-void FaultPlan::set(Fault fault, std::uint64_t count)
+void FaultInjector::setFault(Fault fault, std::uint64_t count)
 {
     const std::lock_guard lock(m_mutex);
     m_fault = fault;
-    m_left = count;
+    m_remaining = count;
 }
 
-bool FaultPlan::setFromJson(const std::string& text)
+bool FaultInjector::setFromJson(const std::string& text)
 {
     const auto node = nlohmann::json::parse(text, nullptr, false);
     const auto name = std::find(kindNames.begin(), kindNames.end(), textAt(node, "kind"));
     if (name == kindNames.end())
         return false;
     const auto delay = std::chrono::milliseconds(countAt(node, "delay_ms"));
-    set({ static_cast<FaultKind>(name - kindNames.begin()), delay }, countAt(node, "count", 1));
+    setFault({ static_cast<FaultKind>(name - kindNames.begin()), delay }, countAt(node, "count", 1));
     return true;
 }
 
-std::optional<Fault> FaultPlan::next()
+std::optional<Fault> FaultInjector::nextFault()
 {
     const std::lock_guard lock(m_mutex);
-    if (m_left == 0)
+    if (m_remaining == 0)
         return std::nullopt;
-    --m_left;
+    --m_remaining;
     return m_fault;
 }
 
--- a/src/foxtailwheel/standin/InstanceList.cpp
+++ b/src/foxtailwheel/standin/InstanceList.cpp
@@ -1,7 +1,7 @@
 #include "foxtailwheel/base/Json.h"
 #include "foxtailwheel/http/Server.h"
 #include "foxtailwheel/limits/TokenBucket.h"
-#include "foxtailwheel/standin/Faults.h"
+#include "foxtailwheel/standin/FaultInjector.h"
 #include "foxtailwheel/standin/Platform.h"
 
 #include <map>
@@ -17,64 +17,64 @@
     using http::Responder;
     using nlohmann::json;
 
-    constexpr Duration entryLife = 30s;
+    constexpr Duration entryLifetime = 30s;
 
     class InstanceListStandIn final : public StandIn {
     public:
-        InstanceListStandIn(const Clock& clock, Duration lag)
+        InstanceListStandIn(const Clock& clock, Duration propagationDelay)
             : m_clock(clock)
-            , m_lag(lag)
+            , m_propagationDelay(propagationDelay)
         {
         }
 
         void handle(const Request& request, const std::shared_ptr<Responder>& responder);
-        void own(std::unique_ptr<http::Server> server) { m_server = std::move(server); }
+        void setServer(std::unique_ptr<http::Server> server) { m_server = std::move(server); }
 
     private:
         struct Entry {
-            json announced;
+            json registration;
             TimePoint firstSeen;
             TimePoint lastSeen;
         };
 
-        http::Response list();
-        void put(const Request& request);
+        http::Response listInstances();
+        void registerInstance(const Request& request);
 
         const Clock& m_clock;
-        Duration m_lag;
+        Duration m_propagationDelay;
         std::mutex m_mutex;
         std::map<std::string, Entry> m_entries;
         std::map<std::string, TimePoint> m_leavingServers;
-        FaultPlan m_faults;
+        FaultInjector m_faults;
         std::unique_ptr<http::Server> m_server;
     };
 
-    http::Response InstanceListStandIn::list()
+    http::Response InstanceListStandIn::listInstances()
     {
         const auto now = m_clock.now();
         const std::lock_guard lock(m_mutex);
-        std::erase_if(m_entries, [now](const auto& it) { return now - it.second.lastSeen > entryLife; });
+        std::erase_if(m_entries, [now](const auto& it) { return now - it.second.lastSeen > entryLifetime; });
         json instances = json::array();
         for (const auto& it : m_entries) {
-            if (now - it.second.firstSeen >= m_lag)
-                instances.push_back(it.second.announced);
+            if (now - it.second.firstSeen >= m_propagationDelay)
+                instances.push_back(it.second.registration);
         }
         json leaving = json::array();
         for (const auto& it : m_leavingServers) {
-            if (now - it.second >= m_lag)
+            if (now - it.second >= m_propagationDelay)
                 leaving.push_back(it.first);
         }
         return { 200, {}, json { { "instances", instances }, { "leaving_servers", leaving } }.dump() };
     }
 
-    void InstanceListStandIn::put(const Request& request)
+    void InstanceListStandIn::registerInstance(const Request& request)
     {
-        auto announced = json::parse(request.body, nullptr, false);
-        const auto id = textAt(announced, "id");
+        auto registration = json::parse(request.body, nullptr, false);
+        const auto id = textAt(registration, "id");
         const auto now = m_clock.now();
         const std::lock_guard lock(m_mutex);
         auto& entry = m_entries.try_emplace(id, Entry { {}, now, now }).first->second;
-        entry.announced = std::move(announced);
+        entry.registration = std::move(registration);
         entry.lastSeen = now;
     }
 
@@ -84,16 +84,16 @@
             responder->respond({ m_faults.setFromJson(request.body) ? 200U : 400U, {}, {} });
             return;
         }
-        if (m_faults.next()) {
+        if (m_faults.nextFault()) {
             responder->respond({ 503, {}, "unavailable" });
             return;
         }
         if (request.method == "GET" && request.path() == "/v1/instances") {
-            responder->respond(list());
+            responder->respond(listInstances());
             return;
         }
         if (request.method == "PUT" && request.path().starts_with("/v1/instances/")) {
-            put(request);
+            registerInstance(request);
             responder->respond({ 200, {}, "{}" });
             return;
         }
@@ -107,36 +107,36 @@
         responder->respond({ 404, {}, "no such path" });
     }
 
-    /// Serves loads up to a rate, and refuses the rest.
+    /// Serves weight downloads up to a rate limit and refuses the rest.
     class WeightStoreStandIn final : public StandIn {
     public:
         WeightStoreStandIn(const Clock& clock, double loadsPerSecond)
             : m_clock(clock)
-            , m_loads(loadsPerSecond, 1, clock.now())
+            , m_loadRateLimiter(loadsPerSecond, 1, clock.now())
         {
         }
 
         void handle(const std::shared_ptr<Responder>& responder)
         {
             const std::lock_guard lock(m_mutex);
-            const bool allowed = m_loads.take(1, m_clock.now());
+            const bool allowed = m_loadRateLimiter.take(1, m_clock.now());
             responder->respond({ allowed ? 200U : 429U, {}, allowed ? "weights" : "too many loads" });
         }
-        void own(std::unique_ptr<http::Server> server) { m_server = std::move(server); }
+        void setServer(std::unique_ptr<http::Server> server) { m_server = std::move(server); }
 
     private:
         const Clock& m_clock;
         std::mutex m_mutex;
-        limits::TokenBucket m_loads;
+        limits::TokenBucket m_loadRateLimiter;
         std::unique_ptr<http::Server> m_server;
     };
 
 } // namespace
 
 Result<std::unique_ptr<StandIn>> startInstanceList(
-    http::IoPool& pool, const Clock& clock, config::Endpoint listen, Duration lag)
+    http::IoPool& pool, const Clock& clock, config::Endpoint listen, Duration propagationDelay)
 {
-    auto list = std::make_unique<InstanceListStandIn>(clock, lag);
+    auto list = std::make_unique<InstanceListStandIn>(clock, propagationDelay);
     http::ServerOptions options;
     options.listen = std::move(listen);
     auto* raw = list.get();
@@ -144,7 +144,7 @@
         http::Server::listen(pool, options, [raw](const Request& request, const std::shared_ptr<Responder>& responder) {
             raw->handle(request, responder);
         }));
-    list->own(std::move(server));
+    list->setServer(std::move(server));
     return std::unique_ptr<StandIn>(std::move(list));
 }
 
@@ -160,7 +160,7 @@
             pool, options, [raw](const Request& /*request*/, const std::shared_ptr<Responder>& responder) {
                 raw->handle(responder);
             }));
-    store->own(std::move(server));
+    store->setServer(std::move(server));
     return std::unique_ptr<StandIn>(std::move(store));
 }
 
--- a/src/foxtailwheel/standin/Table.cpp
+++ b/src/foxtailwheel/standin/Table.cpp
@@ -1,7 +1,7 @@
 #include "foxtailwheel/base/Json.h"
 #include "foxtailwheel/http/Server.h"
 #include "foxtailwheel/limits/TokenBucket.h"
-#include "foxtailwheel/standin/Faults.h"
+#include "foxtailwheel/standin/FaultInjector.h"
 #include "foxtailwheel/standin/Platform.h"
 
 #include <algorithm>
@@ -22,7 +22,7 @@
         std::uint64_t version = 0;
     };
 
-    json rowJson(const std::string& key, const StoredRow& row)
+    json rowToJson(const std::string& key, const StoredRow& row)
     {
         return { { "key", key }, { "value", row.value }, { "version", row.version } };
     }
@@ -37,12 +37,12 @@
         }
 
         void handle(const Request& request, const std::shared_ptr<Responder>& responder);
-        void own(std::unique_ptr<http::Server> server) { m_server = std::move(server); }
+        void setServer(std::unique_ptr<http::Server> server) { m_server = std::move(server); }
 
     private:
         http::Response transact(const std::string& body);
-        http::Response rows(const Request& request);
-        http::Response row(const Request& request);
+        http::Response scan(const Request& request);
+        http::Response read(const Request& request);
         bool admit(bool isWrite);
 
         const Clock& m_clock;
@@ -50,7 +50,7 @@
         limits::TokenBucket m_reads;
         limits::TokenBucket m_writes;
         std::map<std::string, StoredRow> m_rows;
-        FaultPlan m_faults;
+        FaultInjector m_faults;
         std::unique_ptr<http::Server> m_server;
     };
 
@@ -67,18 +67,18 @@
             return { 400, {}, "not a transaction" };
         const std::lock_guard lock(m_mutex);
         json conflicts = json::array();
-        bool holds = true;
+        bool conditionsMet = true;
         for (const auto& it : arrayAt(root, "conditions")) {
             const auto key = textAt(it, "key");
             const auto found = m_rows.find(key);
             const std::uint64_t version = found == m_rows.end() ? 0 : found->second.version;
             if (version == countAt(it, "version"))
                 continue;
-            holds = false;
+            conditionsMet = false;
             if (found != m_rows.end())
-                conflicts.push_back(rowJson(key, found->second));
+                conflicts.push_back(rowToJson(key, found->second));
         }
-        if (!holds)
+        if (!conditionsMet)
             return { 409, {}, json { { "rows", conflicts } }.dump() };
         for (const auto& it : arrayAt(root, "writes")) {
             const auto key = textAt(it, "key");
@@ -93,18 +93,18 @@
         return { 200, {}, "{}" };
     }
 
-    http::Response TableStandIn::row(const Request& request)
+    http::Response TableStandIn::read(const Request& request)
     {
         const auto key = request.query("key");
         const std::lock_guard lock(m_mutex);
         const auto it = m_rows.find(key);
         json rows = json::array();
         if (it != m_rows.end())
-            rows.push_back(rowJson(key, it->second));
+            rows.push_back(rowToJson(key, it->second));
         return { 200, {}, json { { "rows", rows } }.dump() };
     }
 
-    http::Response TableStandIn::rows(const Request& request)
+    http::Response TableStandIn::scan(const Request& request)
     {
         const auto prefix = request.query("prefix");
         const auto after = request.query("after");
@@ -115,7 +115,7 @@
         json rows = json::array();
         auto it = after.empty() ? m_rows.lower_bound(prefix) : m_rows.upper_bound(std::max(after, prefix));
         for (; it != m_rows.end() && it->first.starts_with(prefix) && rows.size() < limit; ++it)
-            rows.push_back(rowJson(it->first, it->second));
+            rows.push_back(rowToJson(it->first, it->second));
         return { 200, {}, json { { "rows", rows } }.dump() };
     }
 
@@ -125,7 +125,7 @@
             responder->respond({ m_faults.setFromJson(request.body) ? 200U : 400U, {}, {} });
             return;
         }
-        const auto fault = m_faults.next();
+        const auto fault = m_faults.nextFault();
         const bool isWrite = request.path() == "/v1/transact";
         if (fault && fault->kind == FaultKind::CloseBefore) {
             responder->abort();
@@ -141,9 +141,9 @@
         if (isWrite)
             response = transact(request.body);
         else if (request.path() == "/v1/row")
-            response = row(request);
+            response = read(request);
         else if (request.path() == "/v1/rows")
-            response = rows(request);
+            response = scan(request);
         if (fault && fault->kind == FaultKind::CloseAfter)
             responder->abort();
         else
@@ -164,7 +164,7 @@
             pool, serverOptions, [raw](const Request& request, const std::shared_ptr<Responder>& responder) {
                 raw->handle(request, responder);
             }));
-    table->own(std::move(server));
+    table->setServer(std::move(server));
     return std::unique_ptr<StandIn>(std::move(table));
 }
 
