--- a/src/foxtailwheel/testing/Declared.cpp
+++ b/src/foxtailwheel/testing/Declared.cpp
@@ -22,21 +22,21 @@
 
 std::shared_ptr<const config::Declarations> smallDeployment(std::size_t servers)
 {
-    auto declared = std::make_shared<config::Declarations>();
-    declared->zones = { { AvailabilityZoneId("a"), "r" }, { AvailabilityZoneId("b"), "r" } };
-    declared->links = { { AvailabilityZoneId("a"), AvailabilityZoneId("b"), 3ms, { 5 } } };
-    declared->services.push_back(serviceOf("encode", config::ServiceKind::Encoder, servers));
-    declared->services.push_back(serviceOf("retrieve", config::ServiceKind::Retriever, servers));
-    declared->services.back().dependsOn = { ServiceId("encode") };
-    declared->services.push_back(serviceOf("generate", config::ServiceKind::ModelEngine, servers));
-    declared->services.back().dependsOn = { ServiceId("retrieve") };
-    declared->services.push_back(serviceOf("booking", config::ServiceKind::Plain, servers));
-    declared->services.back().idempotent = false;
-    declared->pipelines.push_back({ PipelineId("answer"), ServiceId("generate"), 2s, 0 });
-    declared->pipelines.push_back({ PipelineId("book"), ServiceId("booking"), 1s, 0 });
-    declared->accounts.push_back({ ClientAccountId("coop"), 3, 0, std::string(64, 'a') });
-    declared->accounts.push_back({ ClientAccountId("shop"), 1, 0, std::string(64, 'b') });
-    return declared;
+    auto declarations = std::make_shared<config::Declarations>();
+    declarations->zones = { { AvailabilityZoneId("a"), "r" }, { AvailabilityZoneId("b"), "r" } };
+    declarations->links = { { AvailabilityZoneId("a"), AvailabilityZoneId("b"), 3ms, { 5 } } };
+    declarations->services.push_back(serviceOf("encode", config::ServiceKind::Encoder, servers));
+    declarations->services.push_back(serviceOf("retrieve", config::ServiceKind::Retriever, servers));
+    declarations->services.back().dependsOn = { ServiceId("encode") };
+    declarations->services.push_back(serviceOf("generate", config::ServiceKind::ModelEngine, servers));
+    declarations->services.back().dependsOn = { ServiceId("retrieve") };
+    declarations->services.push_back(serviceOf("booking", config::ServiceKind::Plain, servers));
+    declarations->services.back().idempotent = false;
+    declarations->pipelines.push_back({ PipelineId("answer"), ServiceId("generate"), 2s, 0 });
+    declarations->pipelines.push_back({ PipelineId("book"), ServiceId("booking"), 1s, 0 });
+    declarations->accounts.push_back({ ClientAccountId("coop"), 3, 0, std::string(64, 'a') });
+    declarations->accounts.push_back({ ClientAccountId("shop"), 1, 0, std::string(64, 'b') });
+    return declarations;
 }
 
 } // namespace foxtailwheel::testing
--- a/src/foxtailwheel/testing/Declared.h
+++ b/src/foxtailwheel/testing/Declared.h
@@ -6,11 +6,12 @@
 
 namespace foxtailwheel::testing {
 
-/// @brief Declarations of a small deployment: encode, retrieve and generate as pipeline `answer`, a booking as `book`.
-/// @param servers Backend servers of each service.
+/// @brief Returns declarations of a small deployment. Pipeline `answer` has the stages encode, retrieve and generate;
+/// pipeline `book` calls the non-idempotent service `booking`.
+/// @param servers Number of backend servers of each service.
 std::shared_ptr<const config::Declarations> smallDeployment(std::size_t servers);
 
-/// @brief A service with `servers` servers spread over the zones `a` and `b`.
+/// @brief Returns a service with `servers` backend servers, alternating between the zones `a` and `b`.
 config::Service serviceOf(const std::string& name, config::ServiceKind kind, std::size_t servers);
 
 } // namespace foxtailwheel::testing
--- a/src/foxtailwheel/testing/FaultWorld.cpp
+++ b/src/foxtailwheel/testing/FaultWorld.cpp
@@ -13,20 +13,20 @@
 namespace {
 
     constexpr std::size_t instanceCount = 3;
-    constexpr std::size_t tableInstance = instanceCount; ///< Events of the table live on while instances die.
+    constexpr std::size_t noInstance = instanceCount; ///< Owner of events that run even when instances have crashed.
     constexpr std::uint64_t tokenCount = 6;
-    constexpr std::size_t mostSteps = 20000;
+    constexpr std::size_t maxEvents = 20000;
 
-    std::string tokenOf(const std::string& request, std::uint64_t i)
+    std::string generatedToken(const std::string& request, std::uint64_t i)
     {
         return request + "#" + std::to_string(i) + ";";
     }
 
-    std::string textOf(const std::string& request)
+    std::string generatedText(const std::string& request)
     {
         std::string text;
         for (std::uint64_t i = 0; i < tokenCount; ++i)
-            text += tokenOf(request, i);
+            text += generatedToken(request, i);
         return text;
     }
 
@@ -47,13 +47,13 @@
     firstAttempts += other.firstAttempts;
 }
 
-struct FaultWorld::Asked {
+struct FaultWorld::RequestState {
     std::size_t number = 0;
     std::size_t instance = 0;
     std::string body;
     bool booking = false;
     std::uint64_t replies = 0;
-    std::uint64_t tokens = 0;
+    std::uint64_t receivedTokens = 0;
     std::string text;
 };
 
@@ -63,7 +63,8 @@
     bool alive = true;
 };
 
-/// Table with faults: answers lost before and after the write, writes that land late, refusals.
+/// In-memory table with injected faults: unavailability, responses lost before or after the write is applied, and
+/// writes that are applied after the deadline.
 class FaultWorld::FakeTable final : public store::Table {
 public:
     explicit FakeTable(FaultWorld& world)
@@ -115,29 +116,29 @@
     store::Transaction transaction, TimePoint deadline, std::function<void(store::TransactResult)> done)
 {
     auto& random = m_world.m_random;
-    const auto wait = std::max<Duration>(deadline - m_world.m_clock.now(), 1ms);
+    const auto timeout = std::max<Duration>(deadline - m_world.m_clock.now(), 1ms);
     if (random.chance(m_world.m_rates.tableDown)) {
-        m_world.later(tableInstance, m_world.someTime(0.005), [done] { done({}); });
+        m_world.schedule(noInstance, m_world.randomDelay(0.005), [done] { done({}); });
         return;
     }
     if (random.chance(m_world.m_rates.tableLost)) {
-        const bool lands = random.chance(0.6);
-        const auto delay = random.chance(0.5) ? m_world.someTime(0.005) : wait + m_world.someTime(0.5);
-        if (lands)
-            m_world.later(tableInstance, delay, [this, transaction] { apply(transaction); });
-        m_world.later(tableInstance, wait, [done] { done({ store::TransactEnd::Ambiguous, {} }); });
+        const bool takesEffect = random.chance(0.6);
+        const auto delay = random.chance(0.5) ? m_world.randomDelay(0.005) : timeout + m_world.randomDelay(0.5);
+        if (takesEffect)
+            m_world.schedule(noInstance, delay, [this, transaction] { apply(transaction); });
+        m_world.schedule(noInstance, timeout, [done] { done({ store::TransactEnd::Ambiguous, {} }); });
         return;
     }
-    m_world.later(tableInstance, m_world.someTime(0.005), [this, transaction, done] { done(apply(transaction)); });
+    m_world.schedule(noInstance, m_world.randomDelay(0.005), [this, transaction, done] { done(apply(transaction)); });
 }
 
 void FaultWorld::FakeTable::read(std::string key, TimePoint, std::function<void(store::ReadResult)> done)
 {
-    const bool answers = !m_world.m_random.chance(m_world.m_rates.tableDown);
-    m_world.later(tableInstance, m_world.someTime(0.005), [this, key, done, answers] {
-        store::ReadResult result { answers, {} };
+    const bool succeeds = !m_world.m_random.chance(m_world.m_rates.tableDown);
+    m_world.schedule(noInstance, m_world.randomDelay(0.005), [this, key, done, succeeds] {
+        store::ReadResult result { succeeds, {} };
         const auto it = m_rows.find(key);
-        if (answers && it != m_rows.end())
+        if (succeeds && it != m_rows.end())
             result.rows.push_back(it->second);
         done(std::move(result));
     });
@@ -146,7 +147,7 @@
 FaultWorld::FaultWorld(std::uint64_t seed, FaultRates rates)
     : m_random(seed)
     , m_rates(rates)
-    , m_declared(smallDeployment(3))
+    , m_declarations(smallDeployment(3))
     , m_table(std::make_unique<FakeTable>(*this))
 {
     m_clock.set(TimePoint(1h));
@@ -160,30 +161,30 @@
         if (!rates.extras)
             options.extraShare = 0;
         instance->dispatcher = serving::makeDispatcher(options);
-        instance->dispatcher->configure(ConfigVersion(1), m_declared);
+        instance->dispatcher->configure(ConfigVersion(1), m_declarations);
         instance->claims = control::ClaimKeeper::create(*m_table, m_clock, options.pools.self, m_random.next(),
-            [this, i](Duration delay, std::function<void()> work) { later(i, delay, std::move(work)); });
+            [this, i](Duration delay, std::function<void()> action) { schedule(i, delay, std::move(action)); });
         m_instances.push_back(std::move(instance));
     }
 }
 
 FaultWorld::~FaultWorld() = default;
 
-Duration FaultWorld::someTime(double mean)
+Duration FaultWorld::randomDelay(double mean)
 {
     return fromSeconds(m_random.exponential(mean));
 }
 
-void FaultWorld::later(std::size_t instance, Duration delay, std::function<void()> work)
+void FaultWorld::schedule(std::size_t instance, Duration delay, std::function<void()> action)
 {
-    m_events.push_back({ m_clock.now() + delay, instance, std::move(work) });
+    m_events.push_back({ m_clock.now() + delay, instance, std::move(action) });
 }
 
-bool FaultWorld::step()
+bool FaultWorld::runNextEvent()
 {
     if (m_events.empty())
         return false;
-    // One event in four is taken out of order, as if its thread had been held up.
+    // Runs one event in four out of order, to simulate delays of threads.
     const auto earlier = [](const Event& a, const Event& b) { return a.due < b.due; };
     auto it = std::min_element(m_events.begin(), m_events.end(), earlier);
     if (m_random.chance(0.25)) {
@@ -197,90 +198,90 @@
     if (event.due > m_clock.now())
         m_clock.set(event.due);
     if (event.instance >= instanceCount || m_instances[event.instance]->alive)
-        event.work();
+        event.action();
     return true;
 }
 
 FaultCounts FaultWorld::run(std::size_t requests)
 {
     for (std::size_t i = 0; i < requests; ++i)
-        later(tableInstance, someTime(0.1), [this, i] { submit(i, false); });
+        schedule(noInstance, randomDelay(0.1), [this, i] { submit(i, false); });
     for (std::size_t i = 0; i < instanceCount; ++i) {
         if (i > 0 && m_random.chance(m_rates.instanceDies))
-            later(tableInstance, someTime(0.3), [this, i] { m_instances[i]->alive = false; });
+            schedule(noInstance, randomDelay(0.3), [this, i] { m_instances[i]->alive = false; });
     }
-    for (std::size_t steps = 0; steps < mostSteps && step(); ++steps) { }
-    for (const auto& it : m_asked) {
+    for (std::size_t events = 0; events < maxEvents && runNextEvent(); ++events) { }
+    for (const auto& it : m_requests) {
         if (it.second.replies == 0 && m_instances[it.second.instance]->alive)
             ++m_counts.lost;
     }
     m_counts.effects = m_executions.size();
     for (const auto& it : m_executions)
         m_counts.doubled += it.second > 1 ? 1 : 0;
-    for (const auto& it : m_toldNotRun)
+    for (const auto& it : m_reportedNotRun)
         m_counts.wrongNotRun += m_executedRuns.contains(it) ? 1 : 0;
     return m_counts;
 }
 
-void FaultWorld::submit(std::size_t number, bool isRepeat)
+void FaultWorld::submit(std::size_t number, bool isRetry)
 {
     std::size_t instance = m_random.below(instanceCount);
     if (!m_instances[instance]->alive)
         instance = 0;
-    Asked asked;
-    asked.number = number;
-    asked.instance = instance;
-    asked.booking = number % 2 == 0;
-    asked.body = "request-" + std::to_string(number);
+    RequestState state;
+    state.number = number;
+    state.instance = instance;
+    state.booking = number % 2 == 0;
+    state.body = "request-" + std::to_string(number);
     serving::SubmitRequest request;
-    request.pipeline = PipelineId(asked.booking ? "book" : "answer");
+    request.pipeline = PipelineId(state.booking ? "book" : "answer");
     request.account = ClientAccountId(number % 3 == 0 ? "coop" : "shop");
-    request.body = pipeline::payloadOf(asked.body);
+    request.body = pipeline::payloadOf(state.body);
     request.stream = true;
-    if (asked.booking)
+    if (state.booking)
         request.key = IdempotencyKey("key-" + std::to_string(number));
-    if (asked.booking && !isRepeat && m_random.chance(m_rates.callerRepeats))
-        later(tableInstance, someTime(1), [this, number] { submit(number, true); });
+    if (state.booking && !isRetry && m_random.chance(m_rates.callerRepeats))
+        schedule(noInstance, randomDelay(1), [this, number] { submit(number, true); });
     ++m_counts.requests;
     auto& dispatcher = *m_instances[instance]->dispatcher;
     const auto id = dispatcher.newRun();
-    m_asked.emplace(id, std::move(asked));
+    m_requests.emplace(id, std::move(state));
     if (m_random.chance(m_rates.callerLeaves))
-        later(instance, someTime(0.02), [this, instance, id] { leave(instance, id); });
+        schedule(instance, randomDelay(0.02), [this, instance, id] { disconnectCaller(instance, id); });
     serving::Actions actions;
     dispatcher.submit(id, std::move(request), m_clock.now(), actions);
-    perform(instance, std::move(actions));
+    handleActions(instance, std::move(actions));
 }
 
-void FaultWorld::leave(std::size_t instance, RunId run)
+void FaultWorld::disconnectCaller(std::size_t instance, RunId run)
 {
-    serving::Actions due;
-    m_instances[instance]->dispatcher->onCallerLeft(run, m_clock.now(), due);
-    perform(instance, std::move(due));
+    serving::Actions followUp;
+    m_instances[instance]->dispatcher->onCallerLeft(run, m_clock.now(), followUp);
+    handleActions(instance, std::move(followUp));
 }
 
-void FaultWorld::perform(std::size_t instance, serving::Actions actions)
+void FaultWorld::handleActions(std::size_t instance, serving::Actions actions)
 {
     auto& fake = *m_instances[instance];
     for (auto& action : actions) {
         if (const auto* send = std::get_if<serving::SendCall>(&action)) {
-            call(instance, *send);
+            startCall(instance, *send);
         } else if (const auto* stop = std::get_if<serving::StopCall>(&action)) {
-            m_stopped.insert(stop->id);
+            m_cancelledCalls.insert(stop->id);
         } else if (const auto* timer = std::get_if<pipeline::SetTimer>(&action)) {
-            later(instance, timer->at - m_clock.now(), [this, instance, id = timer->id] {
-                serving::Actions due;
-                m_instances[instance]->dispatcher->onTimer(id, m_clock.now(), due);
-                perform(instance, std::move(due));
+            schedule(instance, timer->at - m_clock.now(), [this, instance, id = timer->id] {
+                serving::Actions followUp;
+                m_instances[instance]->dispatcher->onTimer(id, m_clock.now(), followUp);
+                handleActions(instance, std::move(followUp));
             });
         } else if (const auto* claim = std::get_if<serving::ClaimCall>(&action)) {
             fake.claims->claim(
                 *claim, [this, instance, run = claim->run, stage = claim->stage](const pipeline::ClaimResult& result) {
                     if (!m_instances[instance]->alive)
                         return;
-                    serving::Actions due;
-                    m_instances[instance]->dispatcher->onClaim(run, stage, result, m_clock.now(), due);
-                    perform(instance, std::move(due));
+                    serving::Actions followUp;
+                    m_instances[instance]->dispatcher->onClaim(run, stage, result, m_clock.now(), followUp);
+                    handleActions(instance, std::move(followUp));
                 });
         } else if (const auto* end = std::get_if<serving::EndClaim>(&action)) {
             fake.claims->end(*end);
@@ -292,7 +293,7 @@
     }
 }
 
-void FaultWorld::execute(const serving::SendCall& send)
+void FaultWorld::recordExecution(const serving::SendCall& send)
 {
     if (send.idempotencyKey.empty())
         return;
@@ -302,135 +303,135 @@
 
 void FaultWorld::failCall(std::size_t instance, const pipeline::AttemptId& id, CallFailure failure)
 {
-    serving::Actions due;
-    m_instances[instance]->dispatcher->onFailure(id, failure, m_clock.now(), due);
-    perform(instance, std::move(due));
+    serving::Actions followUp;
+    m_instances[instance]->dispatcher->onFailure(id, failure, m_clock.now(), followUp);
+    handleActions(instance, std::move(followUp));
 }
 
-void FaultWorld::call(std::size_t instance, const serving::SendCall& send)
+void FaultWorld::startCall(std::size_t instance, const serving::SendCall& send)
 {
     ++m_counts.attempts;
     m_counts.firstAttempts += send.call.isExtra ? 0 : 1;
     const auto id = send.call.id;
     if (m_random.chance(m_rates.callRefused)) {
         const auto failure = m_random.chance(0.5) ? CallFailure::NotSent : CallFailure::Refused;
-        later(instance, someTime(0.005), [this, instance, id, failure] { failCall(instance, id, failure); });
+        schedule(instance, randomDelay(0.005), [this, instance, id, failure] { failCall(instance, id, failure); });
         return;
     }
-    // The driver's word of the first byte comes when its thread gets to it; the call itself may be quicker.
-    later(instance, someTime(0.003),
+    // The driver reports the first sent byte from its own thread, which may be after the call has completed.
+    schedule(instance, randomDelay(0.003),
         [this, instance, id] { m_instances[instance]->dispatcher->onSent(id, m_clock.now()); });
     if (m_random.chance(m_rates.callLost)) {
         if (m_random.chance(0.5))
-            later(tableInstance, someTime(0.02), [this, send] { execute(send); });
-        // The driver reports a silent call when its deadline passes.
-        later(instance, send.call.giveUpAt - m_clock.now(),
+            schedule(noInstance, randomDelay(0.02), [this, send] { recordExecution(send); });
+        // The driver reports a call without a response when its deadline expires.
+        schedule(instance, send.call.giveUpAt - m_clock.now(),
             [this, instance, id] { failCall(instance, id, CallFailure::Silent); });
         return;
     }
-    const bool breaks = m_random.chance(m_rates.callBroken);
+    const bool fails = m_random.chance(m_rates.callBroken);
     if (send.call.stage->kind == config::ServiceKind::ModelEngine) {
-        later(instance, someTime(0.01), [this, instance, send, breaks] { stream(instance, send, breaks); });
+        schedule(instance, randomDelay(0.01), [this, instance, send, fails] { deliverStream(instance, send, fails); });
         return;
     }
-    if (breaks) {
+    if (fails) {
         if (m_random.chance(0.5))
-            later(tableInstance, someTime(0.01), [this, send] { execute(send); });
+            schedule(noInstance, randomDelay(0.01), [this, send] { recordExecution(send); });
         const auto failure = m_random.chance(0.5) ? CallFailure::Broken : CallFailure::Failed;
-        later(instance, someTime(0.02), [this, instance, id, failure] { failCall(instance, id, failure); });
+        schedule(instance, randomDelay(0.02), [this, instance, id, failure] { failCall(instance, id, failure); });
         return;
     }
-    later(tableInstance, someTime(0.01), [this, instance, send] {
-        execute(send);
-        later(instance, someTime(0.005), [this, instance, send] { answer(instance, send); });
+    schedule(noInstance, randomDelay(0.01), [this, instance, send] {
+        recordExecution(send);
+        schedule(instance, randomDelay(0.005), [this, instance, send] { deliverAnswer(instance, send); });
     });
 }
 
-void FaultWorld::answer(std::size_t instance, const serving::SendCall& send)
+void FaultWorld::deliverAnswer(std::size_t instance, const serving::SendCall& send)
 {
     auto& dispatcher = *m_instances[instance]->dispatcher;
     const auto body = pipeline::payloadOf(*send.call.input.request + "@" + send.call.stage->service.value());
-    serving::Actions due;
-    dispatcher.onAnswer(send.call.id, body, m_clock.now(), due);
-    perform(instance, std::move(due));
+    serving::Actions followUp;
+    dispatcher.onAnswer(send.call.id, body, m_clock.now(), followUp);
+    handleActions(instance, std::move(followUp));
     if (!m_random.chance(m_rates.resultRepeated))
         return;
-    auto stray = send.call.id;
+    auto unmatched = send.call.id;
     if (m_random.chance(0.5))
-        stray.attempt = stray.attempt.next();
+        unmatched.attempt = unmatched.attempt.next();
     else if (m_random.chance(0.5))
-        stray.run = RunId(stray.run.value() + 1000);
-    serving::Actions more;
-    dispatcher.onAnswer(stray, body, m_clock.now(), more);
-    perform(instance, std::move(more));
+        unmatched.run = RunId(unmatched.run.value() + 1000);
+    serving::Actions unmatchedActions;
+    dispatcher.onAnswer(unmatched, body, m_clock.now(), unmatchedActions);
+    handleActions(instance, std::move(unmatchedActions));
 }
 
-void FaultWorld::stream(std::size_t instance, const serving::SendCall& send, bool breaks)
+void FaultWorld::deliverStream(std::size_t instance, const serving::SendCall& send, bool fails)
 {
     auto& dispatcher = *m_instances[instance]->dispatcher;
     const auto id = send.call.id;
     const auto& request = *send.call.input.request;
     std::uint64_t from = send.call.resumeFrom;
-    // Some engines resume a little early and send tokens again.
+    // Some engines resume one token early and send that token again.
     if (from > 0 && m_random.chance(0.3))
         --from;
-    const auto until = breaks ? from + m_random.below(tokenCount - from + 1) : tokenCount;
-    // A broken stream may skip a token first.
-    if (breaks && from < until && m_random.chance(0.1))
+    const auto until = fails ? from + m_random.below(tokenCount - from + 1) : tokenCount;
+    // A stream that is about to fail may skip a token.
+    if (fails && from < until && m_random.chance(0.1))
         ++from;
     while (from < until) {
         const auto n = std::min<std::uint64_t>(until - from, 1 + m_random.below(3));
         std::vector<std::string> tokens;
         for (std::uint64_t i = 0; i < n; ++i)
-            tokens.push_back(tokenOf(request, from + i));
-        serving::Actions due;
-        dispatcher.onTokens(id, from, tokens, m_clock.now(), due);
-        perform(instance, std::move(due));
+            tokens.push_back(generatedToken(request, from + i));
+        serving::Actions followUp;
+        dispatcher.onTokens(id, from, tokens, m_clock.now(), followUp);
+        handleActions(instance, std::move(followUp));
         from += n;
     }
-    // Now and then the end mark comes although tokens are missing.
-    if (breaks && !m_random.chance(0.3)) {
+    // Sometimes the end of the stream is reported although tokens are missing.
+    if (fails && !m_random.chance(0.3)) {
         failCall(instance, id, m_random.chance(0.5) ? CallFailure::Broken : CallFailure::Truncated);
         return;
     }
-    serving::Actions due;
-    dispatcher.onStreamEnd(id, tokenCount, m_clock.now(), due);
-    perform(instance, std::move(due));
+    serving::Actions followUp;
+    dispatcher.onStreamEnd(id, tokenCount, m_clock.now(), followUp);
+    handleActions(instance, std::move(followUp));
 }
 
 void FaultWorld::onTokens(const pipeline::EmitTokens& tokens)
 {
-    auto& asked = m_asked.at(tokens.run);
-    if (tokens.offset != asked.tokens)
+    auto& state = m_requests.at(tokens.run);
+    if (tokens.offset != state.receivedTokens)
         ++m_counts.crossed;
     for (const auto& it : tokens.tokens)
-        asked.text += it;
-    asked.tokens += tokens.tokens.size();
+        state.text += it;
+    state.receivedTokens += tokens.tokens.size();
 }
 
-void FaultWorld::checkAnswer(const Asked& asked, const pipeline::Payload& answer)
+void FaultWorld::checkAnswer(const RequestState& state, const pipeline::Payload& answer)
 {
-    if (asked.booking) {
-        m_counts.crossed += *answer == asked.body + "@booking" ? 0 : 1;
+    if (state.booking) {
+        m_counts.crossed += *answer == state.body + "@booking" ? 0 : 1;
         return;
     }
-    const auto wanted = textOf(asked.body);
-    m_counts.crossed += *answer == wanted && asked.text == wanted ? 0 : 1;
+    const auto expected = generatedText(state.body);
+    m_counts.crossed += *answer == expected && state.text == expected ? 0 : 1;
 }
 
 void FaultWorld::onReply(const serving::Reply& reply)
 {
-    auto& asked = m_asked.at(reply.run);
-    if (++asked.replies > 1)
+    auto& state = m_requests.at(reply.run);
+    if (++state.replies > 1)
         ++m_counts.doubled;
     switch (reply.outcome.kind) {
     case OutcomeKind::Answered:
         ++m_counts.answered;
-        checkAnswer(asked, reply.outcome.answer);
+        checkAnswer(state, reply.outcome.answer);
         return;
     case OutcomeKind::NotRun:
         ++m_counts.notRun;
-        m_toldNotRun.insert(reply.run);
+        m_reportedNotRun.insert(reply.run);
         return;
     case OutcomeKind::Unknown:
         ++m_counts.unknown;
--- a/src/foxtailwheel/testing/FaultWorld.h
+++ b/src/foxtailwheel/testing/FaultWorld.h
@@ -15,31 +15,31 @@
 
 namespace foxtailwheel::testing {
 
-/// @brief Probabilities of the faults of one schedule.
+/// @brief Probability of each fault in one schedule.
 struct FaultRates {
-    double callLost = 0.1; ///< A call goes silent before or after it ran.
-    double callBroken = 0.1; ///< A call breaks before, within or after it ran.
-    double callRefused = 0.1; ///< The server refuses, or cannot be reached.
-    double resultRepeated = 0.1; ///< A result comes twice, or once more to another run.
-    double tableLost = 0.15; ///< The answer to a write is lost, before or after it took effect, or lands late.
-    double tableDown = 0.1; ///< The table refuses.
-    double instanceDies = 0.05; ///< An instance dies with all it was doing.
-    double callerRepeats = 0.6; ///< The caller repeats a booking on some instance.
-    double callerLeaves = 0.05; ///< The caller closes its connection at some time.
-    bool extras = true; ///< Hedges and retries.
+    double callLost = 0.1; ///< A call times out; the server may have executed it or not.
+    double callBroken = 0.1; ///< A call loses its connection or fails before, during or after execution.
+    double callRefused = 0.1; ///< The server refuses the call or is unreachable.
+    double resultRepeated = 0.1; ///< A result arrives twice, or a copy of it arrives for another attempt or run.
+    double tableLost = 0.15; ///< The response to a write is lost; the write is applied, applied late, or not applied.
+    double tableDown = 0.1; ///< The table is unavailable.
+    double instanceDies = 0.05; ///< An instance crashes and loses its requests in progress.
+    double callerRepeats = 0.6; ///< The caller retries a booking on a random instance.
+    double callerLeaves = 0.05; ///< The caller disconnects after a random delay.
+    bool extras = true; ///< Whether hedges and retries are enabled.
 };
 
-/// @brief What came of a schedule.
+/// @brief Outcome counts of one or more schedules.
 struct FaultCounts {
     std::uint64_t requests = 0;
     std::uint64_t answered = 0;
     std::uint64_t notRun = 0;
     std::uint64_t unknown = 0;
-    std::uint64_t lost = 0; ///< Requests without a reply, on instances that live.
-    std::uint64_t doubled = 0; ///< Effects that ran twice, or second replies.
-    std::uint64_t crossed = 0; ///< Answers or tokens of another request, or out of order.
-    std::uint64_t wrongNotRun = 0; ///< Told "not run" although the call ran.
-    std::uint64_t effects = 0; ///< Bookings that ran.
+    std::uint64_t lost = 0; ///< Requests without a reply on instances that did not crash.
+    std::uint64_t doubled = 0; ///< Bookings executed more than once, and second replies to a request.
+    std::uint64_t crossed = 0; ///< Answers or tokens that belong to another request or are out of order.
+    std::uint64_t wrongNotRun = 0; ///< Requests reported as not run although a backend server executed them.
+    std::uint64_t effects = 0; ///< Distinct bookings that were executed.
     std::uint64_t attempts = 0; ///< Calls to backend servers, hedges and retries included.
     std::uint64_t firstAttempts = 0;
 
@@ -47,8 +47,8 @@
     void add(const FaultCounts& other);
 };
 
-/// @brief Several instances' decision libraries over one fake table and fake backend servers, at injected time, with
-/// events in random order. One seed is one schedule of faults.
+/// @brief Simulates the dispatchers of several instances with a fake table and fake backend servers, on a manual clock
+/// and with randomly reordered events. A seed determines the schedule of faults.
 class FaultWorld {
 public:
     FaultWorld(std::uint64_t seed, FaultRates rates);
@@ -56,46 +56,46 @@
     FaultWorld(const FaultWorld&) = delete;
     FaultWorld& operator=(const FaultWorld&) = delete;
 
-    /// @brief Submits `requests` requests and runs until nothing is left to happen.
+    /// @brief Submits `requests` requests and runs until no events remain.
     FaultCounts run(std::size_t requests);
 
 private:
     class FakeTable;
     struct FakeInstance;
-    struct Asked;
+    struct RequestState;
     struct Event {
         TimePoint due;
         std::size_t instance;
-        std::function<void()> work;
+        std::function<void()> action;
     };
 
-    void later(std::size_t instance, Duration delay, std::function<void()> work);
-    bool step();
-    void submit(std::size_t number, bool isRepeat);
-    void leave(std::size_t instance, RunId run);
-    void perform(std::size_t instance, serving::Actions actions);
-    void call(std::size_t instance, const serving::SendCall& send);
-    void stream(std::size_t instance, const serving::SendCall& send, bool breaks);
-    void answer(std::size_t instance, const serving::SendCall& send);
+    void schedule(std::size_t instance, Duration delay, std::function<void()> action);
+    bool runNextEvent();
+    void submit(std::size_t number, bool isRetry);
+    void disconnectCaller(std::size_t instance, RunId run);
+    void handleActions(std::size_t instance, serving::Actions actions);
+    void startCall(std::size_t instance, const serving::SendCall& send);
+    void deliverStream(std::size_t instance, const serving::SendCall& send, bool fails);
+    void deliverAnswer(std::size_t instance, const serving::SendCall& send);
     void failCall(std::size_t instance, const pipeline::AttemptId& id, pipeline::CallFailure failure);
-    void execute(const serving::SendCall& send);
+    void recordExecution(const serving::SendCall& send);
     void onTokens(const pipeline::EmitTokens& tokens);
     void onReply(const serving::Reply& reply);
-    void checkAnswer(const Asked& asked, const pipeline::Payload& answer);
-    Duration someTime(double mean);
+    void checkAnswer(const RequestState& state, const pipeline::Payload& answer);
+    Duration randomDelay(double mean);
 
     Random m_random;
     FaultRates m_rates;
     ManualClock m_clock;
-    std::shared_ptr<const config::Declarations> m_declared;
+    std::shared_ptr<const config::Declarations> m_declarations;
     std::vector<Event> m_events;
     std::unique_ptr<FakeTable> m_table;
     std::vector<std::unique_ptr<FakeInstance>> m_instances;
-    std::map<RunId, Asked> m_asked;
-    std::map<std::string, std::uint64_t> m_executions; ///< By the key told to the backend server.
+    std::map<RunId, RequestState> m_requests;
+    std::map<std::string, std::uint64_t> m_executions; ///< By the idempotency key that was sent to the backend server.
     std::set<RunId> m_executedRuns;
-    std::set<RunId> m_toldNotRun;
-    std::set<pipeline::AttemptId> m_stopped;
+    std::set<RunId> m_reportedNotRun;
+    std::set<pipeline::AttemptId> m_cancelledCalls;
     FaultCounts m_counts;
 };
 
