--- a/include/foxtailwheel/bench/GossipGroup.h
+++ b/include/foxtailwheel/bench/GossipGroup.h
@@ -12,61 +12,64 @@
 
 namespace foxtailwheel::bench {
 
-/// @brief Several `Membership` libraries with a small queue of messages between them, at injected time.
+/// @brief Simulates a gossip group: several `Membership` objects that exchange messages over a lossy network, on a
+/// manual clock.
 class GossipGroup {
 public:
-    /// @param loss Share of the messages that are lost.
-    GossipGroup(std::size_t count, double loss, std::uint64_t seed);
+    /// @param lossProbability Probability that a message is lost.
+    GossipGroup(std::size_t count, double lossProbability, std::uint64_t seed);
 
-    /// @brief Starts an instance; one that takes an old index replaces it with a higher incarnation.
+    /// @brief Starts an instance; an instance with the same index is replaced by one with a higher incarnation.
     void start(std::size_t index);
-    /// @brief Ends an instance without a word.
+    /// @brief Removes an instance without announcing its departure, as a crash does.
     void kill(std::size_t index) { m_members.erase(index); }
-    /// @brief Holds an instance up: it neither reads nor acts.
+    /// @brief Suspends an instance: it neither receives messages nor runs its timers until `resume()`.
     void pause(std::size_t index) { m_paused.insert(index); }
     void resume(std::size_t index) { m_paused.erase(index); }
-    /// @brief Messages between the two sides are lost from now on; an empty side heals the cut.
-    void cut(std::set<std::size_t> side) { m_side = std::move(side); }
+    /// @brief Starts a network partition: messages between `side` and the other instances are lost. An empty `side`
+    /// ends the partition.
+    void cut(std::set<std::size_t> side) { m_partition = std::move(side); }
     void leave(std::size_t index);
     void setConfig(std::size_t index, ConfigVersion version);
     void noticeLeaving(std::size_t index, const BackendServerId& server);
-    /// @brief Lets time pass in steps of 50 ms.
-    void run(Duration length);
+    /// @brief Advances the clock by `duration` in steps of 50 ms, delivering due messages.
+    void run(Duration duration);
 
     membership::Membership& at(std::size_t index) { return *m_members.at(index); }
-    /// @brief True where every running instance knows exactly the running ones as working.
+    /// @brief Returns true if the number of members that each running instance considers active equals the number of
+    /// running instances.
     bool agreed() const;
-    /// @brief Lowest version in force that any running instance knows of the others.
+    /// @brief Returns the lowest configuration version that any running instance has recorded for an active member.
     ConfigVersion lowestKnownConfig() const;
-    std::uint64_t messages() const { return m_messages; }
-    /// @brief Bytes of the messages as peers encode them; counted while `countBytes` is on.
-    std::uint64_t bytes() const { return m_bytes; }
-    void countBytes(bool on) { m_countsBytes = on; }
-    /// @brief True where every running instance knows that the server leaves.
+    std::uint64_t messages() const { return m_sentMessages; }
+    /// @brief Returns the encoded size of the sent messages in bytes; counts only while enabled by `setByteCounting()`.
+    std::uint64_t bytes() const { return m_sentBytes; }
+    void countBytes(bool on) { m_countBytes = on; }
+    /// @brief Returns true if every running instance knows that the server is leaving.
     bool allKnowLeaving(const BackendServerId& server) const;
-    std::size_t running() const { return m_members.size(); }
+    std::size_t runningCount() const { return m_members.size(); }
 
 private:
-    struct Letter {
+    struct QueuedMessage {
         TimePoint due;
         std::size_t from = 0;
         std::size_t to = 0;
         std::variant<membership::Ping, membership::Ack> message;
     };
 
-    void post(std::size_t from, const membership::MembershipActions& actions);
-    void deliver();
+    void enqueueMessages(std::size_t from, const membership::MembershipActions& actions);
+    void deliverDue();
 
     ManualClock m_clock;
     Random m_random;
-    double m_loss;
+    double m_lossProbability;
     std::map<std::size_t, std::unique_ptr<membership::Membership>> m_members;
     std::set<std::size_t> m_paused;
-    std::set<std::size_t> m_side;
-    std::deque<Letter> m_letters;
-    std::uint64_t m_messages = 0;
-    std::uint64_t m_bytes = 0;
-    bool m_countsBytes = false;
+    std::set<std::size_t> m_partition;
+    std::deque<QueuedMessage> m_queue;
+    std::uint64_t m_sentMessages = 0;
+    std::uint64_t m_sentBytes = 0;
+    bool m_countBytes = false;
 };
 
 } // namespace foxtailwheel::bench
--- a/include/foxtailwheel/bench/Scenario.h
+++ b/include/foxtailwheel/bench/Scenario.h
@@ -12,40 +12,41 @@
 
 namespace foxtailwheel::bench {
 
-/// @brief What goes wrong in a run of the bench.
-enum class Trouble { Calm, Burst, Straggler, Deaths, LossyZone, SharedPrefixes, Lag1s, Lag5s };
+/// @brief Fault or load pattern that is injected into a run of the benchmark. `Lag1s` and `Lag5s` delay load reports
+/// and cache events.
+enum class InjectedFault { Calm, Burst, Straggler, Deaths, LossyZone, SharedPrefixes, Lag1s, Lag5s };
 
-/// @brief A policy under measurement: the whole system, or the whole system with one part replaced.
+/// @brief Policy under measurement: the full system, or the full system with one component replaced or disabled.
 enum class Policy { Full, RoundRobin, LeastReported, PowerOfTwo, NoHedging, NoAdmission, NoAffinity };
 
-std::string_view toString(Trouble trouble);
+std::string_view toString(InjectedFault fault);
 std::string_view toString(Policy policy);
-const std::vector<Trouble>& allTroubles();
+const std::vector<InjectedFault>& allFaults();
 const std::vector<Policy>& allPolicies();
 
 /// @brief A deployment with its workload.
 struct Deployment {
     std::string name;
-    std::shared_ptr<const config::Declarations> declared;
-    std::size_t instances = 8;
-    std::vector<double> accountShares; ///< Share of the requests of each declared account; adds up to 1.
+    std::shared_ptr<const config::Declarations> declarations;
+    std::size_t instanceCount = 8;
+    std::vector<double> accountShares; ///< Share of the requests that each declared account sends; the sum is 1.
 };
 
-/// @brief Reads a deployment from declarations.
-/// @param text YAML, valid.
+/// @brief Parses a deployment from declarations and assigns request shares to its accounts.
+/// @param text Valid YAML declarations.
 Deployment deploymentOf(std::string name, const std::string& text);
 
-/// @brief One run of the bench.
+/// @brief Configuration of one simulation run.
 struct Scenario {
     const Deployment* deployment = nullptr;
-    Trouble trouble = Trouble::Calm;
+    InjectedFault trouble = InjectedFault::Calm;
     Policy policy = Policy::Full;
-    double load = 0.8; ///< Offered load as a share of the capacity of the scarcest service.
-    Duration length = std::chrono::seconds(20); ///< Measured time, after the warm-up.
+    double load = 0.8; ///< Offered load relative to the capacity of the bottleneck service.
+    Duration duration = std::chrono::seconds(20); ///< Duration of the measurement, without the warm-up.
     std::uint64_t seed = 1;
 };
 
-/// @brief Options of a dispatcher under a policy.
+/// @brief Returns the dispatcher options that implement `policy`.
 serving::DispatcherOptions dispatcherOptions(Policy policy);
 
 } // namespace foxtailwheel::bench
--- a/include/foxtailwheel/bench/Targets.h
+++ b/include/foxtailwheel/bench/Targets.h
@@ -8,33 +8,33 @@
 
 namespace foxtailwheel::bench {
 
-/// @brief One scenario with its figures.
+/// @brief One scenario with its result.
 struct Row {
     Scenario scenario;
-    Figures figures;
+    SimulationResult figures;
 };
 
-/// @brief Name of a row, for example `irish-agency/deaths/80/full`.
-std::string nameOf(const Scenario& scenario);
+/// @brief Returns the name of a row, for example `irish-agency/deaths/80/full`.
+std::string rowName(const Scenario& scenario);
 
-/// @brief All scenarios of the deployments whose names hold `only`.
-std::vector<Row> makeRows(const std::vector<Deployment>& deployments, const std::string& only);
+/// @brief Returns all scenarios of the deployments whose row names contain `nameFilter`.
+std::vector<Row> makeRows(const std::vector<Deployment>& deployments, const std::string& nameFilter);
 
-/// @brief Prints the rows as a table.
+/// @brief Prints the rows as a text table.
 void printRows(std::ostream& out, const std::vector<Row>& rows);
 
-/// @brief Bounds that hold or do not.
-struct Verdict {
-    std::size_t checked = 0;
-    std::vector<std::string> broken;
-    std::vector<std::string> knownRed; ///< Broken, and named as such in KNOWN-RED.txt.
+/// @brief Result of checking the rows against their bounds.
+struct CheckResult {
+    std::size_t checked = 0; ///< Number of bounds checked.
+    std::vector<std::string> broken; ///< Violated bounds that are not listed in KNOWN-RED.txt.
+    std::vector<std::string> knownRed; ///< Violated bounds that are listed in KNOWN-RED.txt.
 };
 
-/// @brief Checks the stated targets.
+/// @brief Checks the rows against the service-level targets.
 ///
-/// A comparison with another policy that does not hold for the row's seed is repeated with more seeds, and is broken
-/// where the system is worse by more than the chance between seeds explains.
-/// @param knownRed Text of KNOWN-RED.txt; a bound whose name stands there as a line of its own does not fail the check.
-Verdict checkTargets(const std::vector<Row>& rows, const std::string& knownRed);
+/// If the full system is worse than another policy for the row's seed, the comparison is repeated with more seeds. The
+/// bound is violated only if the system is worse by a statistically significant amount.
+/// @param knownRed Text of KNOWN-RED.txt; a violated bound whose name is a line of this text does not fail the check.
+CheckResult checkTargets(const std::vector<Row>& rows, const std::string& knownRed);
 
 } // namespace foxtailwheel::bench
--- a/src/foxtailwheel/bench/FakeServer.cpp
+++ b/src/foxtailwheel/bench/FakeServer.cpp
@@ -6,14 +6,14 @@
 
 bool FakeServer::touchPrefix(routing::PrefixHash prefix)
 {
-    const auto it = std::find(cache.begin(), cache.end(), prefix);
-    const bool held = it != cache.end();
-    if (held)
-        cache.erase(it);
-    cache.push_front(prefix);
-    if (cache.size() > cachedPrefixes)
-        cache.pop_back();
-    return held;
+    const auto it = std::find(prefixCache.begin(), prefixCache.end(), prefix);
+    const bool cached = it != prefixCache.end();
+    if (cached)
+        prefixCache.erase(it);
+    prefixCache.push_front(prefix);
+    if (prefixCache.size() > prefixCacheCapacity)
+        prefixCache.pop_back();
+    return cached;
 }
 
 } // namespace foxtailwheel::bench
--- a/src/foxtailwheel/bench/FakeServer.h
+++ b/src/foxtailwheel/bench/FakeServer.h
@@ -11,35 +11,35 @@
 
 namespace foxtailwheel::bench {
 
-/// @brief One call on its way through a fake server.
+/// @brief One call to a fake server.
 struct FakeCall {
     serving::SendCall send;
     std::size_t instance = 0;
-    std::uint64_t arrival = 0; ///< Number of the request.
-    bool stopped = false;
+    std::uint64_t requestNumber = 0; ///< Sequence number of the request.
+    bool cancelled = false;
     bool running = false;
-    bool ended = false;
+    bool completed = false;
 };
 
-/// @brief Fake backend server: slots, a queue, and a prefix cache for model engines.
+/// @brief Simulated backend server with slots, a queue and, for model engines, an LRU prefix cache.
 struct FakeServer {
     const config::Service* service = nullptr;
-    config::BackendServer declared;
-    double slowness = 1; ///< Factor on the time of each call.
-    bool dead = false;
-    bool silent = false; ///< Dead without closing its connections.
-    std::uint32_t running = 0;
+    config::BackendServer declaration;
+    double slowdown = 1; ///< Factor applied to the time of each call.
+    bool crashed = false;
+    bool unresponsive = false; ///< Crashed without closing its connections.
+    std::uint32_t runningCalls = 0;
     std::deque<std::shared_ptr<FakeCall>> queue;
-    std::list<routing::PrefixHash> cache; ///< Most recently used first.
+    std::list<routing::PrefixHash> prefixCache; ///< Most recently used first.
     std::uint64_t cacheSequence = 0;
 
-    /// @brief Looks a prefix up and makes it the most recent; true where it was held.
+    /// @brief Inserts a prefix or marks it as most recently used; returns true if it was cached.
     bool touchPrefix(routing::PrefixHash prefix);
 };
 
-/// @brief Prefixes that a fake engine holds.
-constexpr std::size_t cachedPrefixes = 24;
-/// @brief Share of the call time that a held prefix saves.
-constexpr double prefixSaving = 0.35;
+/// @brief Number of prefixes that a simulated model engine caches.
+constexpr std::size_t prefixCacheCapacity = 24;
+/// @brief Share of the call time that a cached prefix saves.
+constexpr double prefixHitTimeSaving = 0.35;
 
 } // namespace foxtailwheel::bench
--- a/src/foxtailwheel/bench/GossipGroup.cpp
+++ b/src/foxtailwheel/bench/GossipGroup.cpp
@@ -12,7 +12,7 @@
 
     constexpr Duration step = 50ms;
 
-    membership::Member memberOf(std::size_t index)
+    membership::Member makeMember(std::size_t index)
     {
         membership::Member member;
         member.id = InstanceId("instance-" + std::to_string(index));
@@ -23,9 +23,9 @@
 
 } // namespace
 
-GossipGroup::GossipGroup(std::size_t count, double loss, std::uint64_t seed)
+GossipGroup::GossipGroup(std::size_t count, double lossProbability, std::uint64_t seed)
     : m_random(seed)
-    , m_loss(loss)
+    , m_lossProbability(lossProbability)
 {
     m_clock.set(TimePoint(1h));
     for (std::size_t i = 0; i < count; ++i)
@@ -34,42 +34,42 @@
 
 void GossipGroup::start(std::size_t index)
 {
-    auto self = memberOf(index);
+    auto self = makeMember(index);
     self.incarnation = Incarnation(static_cast<std::uint64_t>(m_clock.wallNow().time_since_epoch().count()));
-    auto started = std::make_unique<membership::Membership>(self, membership::MembershipOptions {}, m_random.next());
-    // The platform's list names three others at most.
-    std::size_t named = 0;
+    auto member = std::make_unique<membership::Membership>(self, membership::MembershipOptions {}, m_random.next());
+    // The instance list of the platform contains at most three other instances.
+    std::size_t knownPeers = 0;
     for (const auto& it : m_members) {
-        if (it.first != index && named++ < 3)
-            started->introduce(memberOf(it.first), m_clock.now());
+        if (it.first != index && knownPeers++ < 3)
+            member->introduce(makeMember(it.first), m_clock.now());
     }
-    m_members[index] = std::move(started);
+    m_members[index] = std::move(member);
 }
 
-void GossipGroup::post(std::size_t from, const membership::MembershipActions& actions)
+void GossipGroup::enqueueMessages(std::size_t from, const membership::MembershipActions& actions)
 {
     for (const auto& it : actions) {
         const auto* send = std::get_if<membership::SendMessage>(&it);
         if (send == nullptr)
             continue;
-        ++m_messages;
-        if (m_countsBytes)
-            m_bytes += std::visit(
+        ++m_sentMessages;
+        if (m_countBytes)
+            m_sentBytes += std::visit(
                 [](const auto& message) { return peer::encodeMessage(peer::Message(message)).size(); }, send->message);
         const std::size_t to = send->to.port - 1U;
-        const bool severed = !m_side.empty() && m_side.contains(from) != m_side.contains(to);
-        if (!severed && !m_random.chance(m_loss))
-            m_letters.push_back({ m_clock.now() + fromSeconds(m_random.exponential(0.005)), from, to, send->message });
+        const bool partitioned = !m_partition.empty() && m_partition.contains(from) != m_partition.contains(to);
+        if (!partitioned && !m_random.chance(m_lossProbability))
+            m_queue.push_back({ m_clock.now() + fromSeconds(m_random.exponential(0.005)), from, to, send->message });
     }
 }
 
-void GossipGroup::deliver()
+void GossipGroup::deliverDue()
 {
-    std::deque<Letter> waiting;
-    std::swap(waiting, m_letters);
+    std::deque<QueuedMessage> waiting;
+    std::swap(waiting, m_queue);
     for (auto& it : waiting) {
         if (it.due > m_clock.now() || m_paused.contains(it.to)) {
-            m_letters.push_back(std::move(it));
+            m_queue.push_back(std::move(it));
             continue;
         }
         const auto member = m_members.find(it.to);
@@ -80,22 +80,22 @@
             member->second->onPing(*ping, m_clock.now(), actions);
         else
             member->second->onAck(std::get<membership::Ack>(it.message), m_clock.now(), actions);
-        post(it.to, actions);
+        enqueueMessages(it.to, actions);
     }
 }
 
-void GossipGroup::run(Duration length)
+void GossipGroup::run(Duration duration)
 {
-    const auto until = m_clock.now() + length;
+    const auto until = m_clock.now() + duration;
     while (m_clock.now() < until) {
         m_clock.advance(step);
-        deliver();
+        deliverDue();
         for (auto& it : m_members) {
             if (m_paused.contains(it.first))
                 continue;
             membership::MembershipActions actions;
             it.second->tick(m_clock.now(), actions);
-            post(it.first, actions);
+            enqueueMessages(it.first, actions);
         }
     }
 }
@@ -104,14 +104,14 @@
 {
     membership::MembershipActions actions;
     m_members.at(index)->leave(m_clock.now(), actions);
-    post(index, actions);
+    enqueueMessages(index, actions);
 }
 
 void GossipGroup::setConfig(std::size_t index, ConfigVersion version)
 {
     membership::MembershipActions actions;
     m_members.at(index)->setConfig(version, m_clock.now(), actions);
-    post(index, actions);
+    enqueueMessages(index, actions);
 }
 
 void GossipGroup::noticeLeaving(std::size_t index, const BackendServerId& server)
@@ -119,7 +119,7 @@
     membership::MembershipActions actions;
     const auto sequence = static_cast<std::uint64_t>(m_clock.wallNow().time_since_epoch().count());
     m_members.at(index)->notice({ server, true, sequence }, m_clock.now(), actions);
-    post(index, actions);
+    enqueueMessages(index, actions);
 }
 
 bool GossipGroup::allKnowLeaving(const BackendServerId& server) const
--- a/src/foxtailwheel/bench/Scenario.cpp
+++ b/src/foxtailwheel/bench/Scenario.cpp
@@ -7,12 +7,12 @@
 
 namespace {
 
-    constexpr std::array<std::string_view, 8> troubleNames { "calm", "burst", "straggler", "deaths", "lossy-zone",
+    constexpr std::array<std::string_view, 8> faultNames { "calm", "burst", "straggler", "deaths", "lossy-zone",
         "shared-prefixes", "lag-1s", "lag-5s" };
     constexpr std::array<std::string_view, 7> policyNames { "full", "round-robin", "least-reported", "power-of-two",
         "no-hedging", "no-admission", "no-affinity" };
 
-    template <class T, std::size_t N> std::vector<T> everyOne()
+    template <class T, std::size_t N> std::vector<T> allValues()
     {
         std::vector<T> values;
         for (std::size_t i = 0; i < N; ++i)
@@ -22,9 +22,9 @@
 
 } // namespace
 
-std::string_view toString(Trouble trouble)
+std::string_view toString(InjectedFault fault)
 {
-    return troubleNames.at(static_cast<std::size_t>(trouble));
+    return faultNames.at(static_cast<std::size_t>(fault));
 }
 
 std::string_view toString(Policy policy)
@@ -32,15 +32,15 @@
     return policyNames.at(static_cast<std::size_t>(policy));
 }
 
-const std::vector<Trouble>& allTroubles()
+const std::vector<InjectedFault>& allFaults()
 {
-    static const auto values = everyOne<Trouble, troubleNames.size()>();
+    static const auto values = allValues<InjectedFault, faultNames.size()>();
     return values;
 }
 
 const std::vector<Policy>& allPolicies()
 {
-    static const auto values = everyOne<Policy, policyNames.size()>();
+    static const auto values = allValues<Policy, policyNames.size()>();
     return values;
 }
 
@@ -48,18 +48,19 @@
 {
     Deployment deployment;
     deployment.name = std::move(name);
-    auto declared = std::make_shared<config::Declarations>(config::parseDeclarations(text).declarations);
-    // A few accounts are large: each asks for half as much as the one before. Limits by rate are measured elsewhere.
-    double part = 1;
-    for (auto& it : declared->accounts) {
+    auto declarations = std::make_shared<config::Declarations>(config::parseDeclarations(text).declarations);
+    // Account sizes are skewed: each account sends half as many requests as the one before. Account rate limits are
+    // disabled here and measured separately.
+    double share = 1;
+    for (auto& it : declarations->accounts) {
         it.ratePerSecond = 0;
-        deployment.accountShares.push_back(part);
-        part /= 2;
+        deployment.accountShares.push_back(share);
+        share /= 2;
     }
     const double sum = std::accumulate(deployment.accountShares.begin(), deployment.accountShares.end(), 0.0);
     for (auto& it : deployment.accountShares)
         it /= sum;
-    deployment.declared = std::move(declared);
+    deployment.declarations = std::move(declarations);
     return deployment;
 }
 
--- a/src/foxtailwheel/bench/Targets.cpp
+++ b/src/foxtailwheel/bench/Targets.cpp
@@ -16,89 +16,95 @@
     constexpr double calmAttainment = 0.999;
     constexpr double faultAttainment = 0.99;
     constexpr double overloadGoodput = 0.95;
-    constexpr double fairShareError = 0.10;
-    constexpr double mostExtraCost = 0.05;
-    constexpr double mostCrossZone = 0.10;
-    /// Seeds with which a comparison is repeated.
-    constexpr std::uint64_t repeatSeeds = 8;
-    /// One-sided limit of Student's t for seven degrees of freedom at 95%.
-    constexpr double studentLimit = 1.895;
-
-    bool near(double a, double b)
+    constexpr double fairShareTolerance = 0.10;
+    constexpr double maxRetryCostRatio = 0.05;
+    constexpr double maxCrossZoneShare = 0.10;
+    /// Number of seeds for a repeated comparison.
+    constexpr std::uint64_t comparisonSeeds = 8;
+    /// One-sided critical value of Student's t distribution at 95% for `comparisonSeeds - 1` degrees of freedom.
+    constexpr double studentTCriticalValue = 1.895;
+
+    bool approximatelyEqual(double a, double b)
     {
         return std::abs(a - b) < 1e-9;
     }
 
-    bool zonesHealthy(Trouble trouble)
+    bool allZonesHealthy(InjectedFault fault)
     {
-        return trouble != Trouble::LossyZone && trouble != Trouble::Deaths;
+        return fault != InjectedFault::LossyZone && fault != InjectedFault::Deaths;
     }
 
-    /// Compares figures with targets, and takes the known exceptions into account.
+    /// Records bound checks and separates known violations from new ones.
     class Checker {
     public:
-        Checker(const std::string& knownRed, Verdict& verdict)
-            : m_verdict(verdict)
+        Checker(const std::string& knownRed, CheckResult& result)
+            : m_result(result)
         {
             std::istringstream lines(knownRed);
             for (std::string line; std::getline(lines, line);)
                 m_knownRed.insert(line);
         }
 
-        void atLeast(const std::string& name, double value, double bound) { judge(name, value >= bound, value, bound); }
-        void atMost(const std::string& name, double value, double bound) { judge(name, value <= bound, value, bound); }
+        void atLeast(const std::string& name, double value, double bound)
+        {
+            checkBound(name, value >= bound, value, bound);
+        }
+        void atMost(const std::string& name, double value, double bound)
+        {
+            checkBound(name, value <= bound, value, bound);
+        }
 
     private:
-        void judge(const std::string& name, bool holds, double value, double bound)
+        void checkBound(const std::string& name, bool satisfied, double value, double bound)
         {
-            ++m_verdict.checked;
-            if (holds)
+            ++m_result.checked;
+            if (satisfied)
                 return;
             std::array<char, 96> buf {};
             std::snprintf(buf.data(), buf.size(), " is %.5f, the bound %.5f", value, bound);
-            auto& list = m_knownRed.contains(name) ? m_verdict.knownRed : m_verdict.broken;
-            list.push_back(name + buf.data());
+            auto& violations = m_knownRed.contains(name) ? m_result.knownRed : m_result.broken;
+            violations.push_back(name + buf.data());
         }
 
-        Verdict& m_verdict;
+        CheckResult& m_result;
         std::set<std::string> m_knownRed;
     };
 
-    void checkFull(const Row& row, Checker& checker)
+    void checkFullPolicy(const Row& row, Checker& checker)
     {
         const auto& f = row.figures;
-        const auto name = nameOf(row.scenario);
-        const bool calm = row.scenario.trouble == Trouble::Calm;
-        if (row.scenario.trouble == Trouble::Burst && row.scenario.load >= 0.8)
-            // The burst offers more than twice the capacity: no policy answers all of it, a good one wastes no
-            // capacity.
+        const auto name = rowName(row.scenario);
+        const bool calm = row.scenario.trouble == InjectedFault::Calm;
+        if (row.scenario.trouble == InjectedFault::Burst && row.scenario.load >= 0.8)
+            // The burst offers more than twice the capacity, so that no policy can answer all requests; the target
+            // is to use the capacity fully.
             checker.atLeast(name + " goodput in the burst", f.burstGoodput, overloadGoodput);
-        else if (near(row.scenario.load, 0.8))
+        else if (approximatelyEqual(row.scenario.load, 0.8))
             checker.atLeast(name + " attainment", f.attainment, calm ? calmAttainment : faultAttainment);
-        if (near(row.scenario.load, 1.2)) {
+        if (approximatelyEqual(row.scenario.load, 1.2)) {
             checker.atLeast(name + " goodput", f.goodput, overloadGoodput);
-            checker.atLeast(name + " worst fair share", f.worstFairShare, 1 - fairShareError);
+            checker.atLeast(name + " worst fair share", f.worstFairShare, 1 - fairShareTolerance);
         }
-        if (near(row.scenario.load, 0.5) && zonesHealthy(row.scenario.trouble))
-            checker.atMost(name + " cross-zone", f.crossZoneShare, mostCrossZone);
-        checker.atMost(name + " extra cost", f.extraCostShare, mostExtraCost);
+        if (approximatelyEqual(row.scenario.load, 0.5) && allZonesHealthy(row.scenario.trouble))
+            checker.atMost(name + " cross-zone", f.crossZoneShare, maxCrossZoneShare);
+        checker.atMost(name + " extra cost", f.extraCostShare, maxRetryCostRatio);
     }
 
-    /// Differences of one figure between two policies under the same seeds.
+    /// Mean and standard error of the paired differences of one metric between two policies with the same seeds.
     struct PairedDifference {
         double mean = 0;
         double standardError = 0;
     };
 
-    PairedDifference compare(const Scenario& ours, const Scenario& theirs, double Figures::*figure)
+    PairedDifference compare(const Scenario& system, const Scenario& baseline, double SimulationResult::*metric)
     {
         std::vector<std::future<double>> runs;
-        for (std::uint64_t i = 1; i <= repeatSeeds; ++i) {
-            runs.push_back(
-                std::async(std::launch::async, [ours = Scenario(ours), theirs = Scenario(theirs), figure, i]() mutable {
-                    ours.seed += i;
-                    theirs.seed += i;
-                    return simulate(ours).*figure - simulate(theirs).*figure;
+        for (std::uint64_t i = 1; i <= comparisonSeeds; ++i) {
+            runs.push_back(std::async(
+                std::launch::async, [system = Scenario(system), baseline = Scenario(baseline), metric, i]() mutable {
+                    system.seed += i;
+                    baseline.seed += i;
+                    return simulate(system).*metric - simulate(baseline).*metric;
                 }));
         }
         double sum = 0;
@@ -108,68 +114,68 @@
             sum += difference;
             squares += difference * difference;
         }
-        const auto n = static_cast<double>(repeatSeeds);
+        const auto n = static_cast<double>(comparisonSeeds);
         const double mean = sum / n;
         return { mean, std::sqrt(std::max(0.0, squares / n - mean * mean) / (n - 1)) };
     }
 
-    /// Checks that the system is not worse than another policy in one figure.
-    /// @param sign 1 where more is better, -1 where less is.
-    void checkNotWorse(const Row& ours, const Row& theirs, double Figures::*figure, double sign,
+    /// Checks that the full system is not worse than a baseline policy in one metric.
+    /// @param sign 1 if higher is better, -1 if lower is better.
+    void checkNotWorse(const Row& system, const Row& baseline, double SimulationResult::*metric, double sign,
         const std::string& name, Checker& checker)
     {
-        const double difference = sign * (ours.figures.*figure - theirs.figures.*figure);
+        const double difference = sign * (system.figures.*metric - baseline.figures.*metric);
         if (difference >= 0) {
             checker.atLeast(name, difference, 0);
             return;
         }
-        const auto more = compare(ours.scenario, theirs.scenario, figure);
-        checker.atLeast(name, sign * more.mean, -studentLimit * more.standardError);
+        const auto repeated = compare(system.scenario, baseline.scenario, metric);
+        checker.atLeast(name, sign * repeated.mean, -studentTCriticalValue * repeated.standardError);
     }
 
     void checkAgainstBaselines(const std::vector<const Row*>& group, Checker& checker)
     {
         const Row* full = nullptr;
-        const Row* best = nullptr;
+        const Row* bestBaseline = nullptr;
         for (const auto* it : group) {
             if (it->scenario.policy == Policy::Full)
                 full = it;
-            else if (best == nullptr || it->figures.attainment > best->figures.attainment)
-                best = it;
+            else if (bestBaseline == nullptr || it->figures.attainment > bestBaseline->figures.attainment)
+                bestBaseline = it;
         }
-        if (full == nullptr || best == nullptr)
+        if (full == nullptr || bestBaseline == nullptr)
             return;
-        const auto name = nameOf(full->scenario);
-        checkNotWorse(*full, *best, &Figures::attainment, 1,
-            name + " attainment against " + std::string(toString(best->scenario.policy)), checker);
+        const auto name = rowName(full->scenario);
+        checkNotWorse(*full, *bestBaseline, &SimulationResult::attainment, 1,
+            name + " attainment against " + std::string(toString(bestBaseline->scenario.policy)), checker);
         for (const auto* it : group) {
-            if (it != full && near(it->figures.attainment, full->figures.attainment))
-                checkNotWorse(*full, *it, &Figures::costPerAnswer, -1,
+            if (it != full && approximatelyEqual(it->figures.attainment, full->figures.attainment))
+                checkNotWorse(*full, *it, &SimulationResult::costPerAnswer, -1,
                     name + " cost against " + std::string(toString(it->scenario.policy)), checker);
         }
     }
 
 } // namespace
 
-std::string nameOf(const Scenario& scenario)
+std::string rowName(const Scenario& scenario)
 {
     return scenario.deployment->name + "/" + std::string(toString(scenario.trouble)) + "/"
         + std::to_string(std::lround(scenario.load * 100)) + "/" + std::string(toString(scenario.policy));
 }
 
-std::vector<Row> makeRows(const std::vector<Deployment>& deployments, const std::string& only)
+std::vector<Row> makeRows(const std::vector<Deployment>& deployments, const std::string& nameFilter)
 {
     std::vector<Row> rows;
     for (const auto& deployment : deployments) {
-        for (const auto trouble : allTroubles()) {
+        for (const auto fault : allFaults()) {
             for (const double load : loads) {
                 for (const auto policy : allPolicies()) {
                     Row row;
                     row.scenario.deployment = &deployment;
-                    row.scenario.trouble = trouble;
+                    row.scenario.trouble = fault;
                     row.scenario.load = load;
                     row.scenario.policy = policy;
-                    if (nameOf(row.scenario).find(only) != std::string::npos)
+                    if (rowName(row.scenario).find(nameFilter) != std::string::npos)
                         rows.push_back(std::move(row));
                 }
             }
@@ -186,26 +192,26 @@
         const auto& f = it.figures;
         std::array<char, 200> buf {};
         std::snprintf(buf.data(), buf.size(), "%-43s %7.3f %6.1f %6.0f %6.0f %7.0f %7.1f %7.2f %7.2f %7.1f %5.2f\n",
-            nameOf(it.scenario).c_str(), f.attainment * 100, f.goodput * 100, f.medianMs, f.p99Ms, f.firstTokenP95Ms,
+            rowName(it.scenario).c_str(), f.attainment * 100, f.goodput * 100, f.medianMs, f.p99Ms, f.firstTokenP95Ms,
             f.crossZoneShare * 100, f.extraCostShare * 100, f.wastedShare * 100, f.costPerAnswer, f.worstFairShare);
         out << buf.data();
     }
 }
 
-Verdict checkTargets(const std::vector<Row>& rows, const std::string& knownRed)
+CheckResult checkTargets(const std::vector<Row>& rows, const std::string& knownRed)
 {
-    Verdict verdict;
-    Checker checker(knownRed, verdict);
+    CheckResult result;
+    Checker checker(knownRed, result);
     std::map<std::string, std::vector<const Row*>> groups;
     for (const auto& it : rows) {
         if (it.scenario.policy == Policy::Full)
-            checkFull(it, checker);
-        const auto name = nameOf(it.scenario);
+            checkFullPolicy(it, checker);
+        const auto name = rowName(it.scenario);
         groups[name.substr(0, name.rfind('/'))].push_back(&it);
     }
     for (const auto& it : groups)
         checkAgainstBaselines(it.second, checker);
-    return verdict;
+    return result;
 }
 
 } // namespace foxtailwheel::bench
