--- a/src/foxtailwheel/bench/Simulation.cpp
+++ b/src/foxtailwheel/bench/Simulation.cpp
@@ -365,8 +365,8 @@
             startExecution(call, server);
     }
 
-    /// Returns the duration of a call. Its seed depends on request, stage and attempt only, so that call times are the
-    /// same under every policy.
+    /// Returns the duration of a call, drawn from a generator that is seeded by scenario, request, stage and attempt,
+    /// so that call times are the same under every policy.
     double Simulation::callSeconds(const FakeCall& call, const config::Service& service) const
     {
         const auto& id = call.send.call.id;
--- a/src/foxtailwheel/testing/FaultWorld.cpp
+++ b/src/foxtailwheel/testing/FaultWorld.cpp
@@ -67,8 +67,8 @@
 /// writes that are applied after the deadline.
 class FaultWorld::FakeTable final : public store::Table {
 public:
-    explicit FakeTable(FaultWorld& world)
-        : m_world(world)
+    explicit FakeTable(FaultWorld& simulation)
+        : m_simulation(simulation)
     {
     }
 
@@ -83,7 +83,7 @@
 private:
     store::TransactResult apply(const store::Transaction& transaction);
 
-    FaultWorld& m_world;
+    FaultWorld& m_simulation;
     std::map<std::string, store::Row> m_rows;
 };
 
@@ -115,27 +115,29 @@
 void FaultWorld::FakeTable::transact(
     store::Transaction transaction, TimePoint deadline, std::function<void(store::TransactResult)> done)
 {
-    auto& random = m_world.m_random;
-    const auto timeout = std::max<Duration>(deadline - m_world.m_clock.now(), 1ms);
-    if (random.chance(m_world.m_rates.tableDown)) {
-        m_world.schedule(noInstance, m_world.randomDelay(0.005), [done] { done({}); });
+    auto& random = m_simulation.m_random;
+    const auto timeout = std::max<Duration>(deadline - m_simulation.m_clock.now(), 1ms);
+    if (random.chance(m_simulation.m_rates.tableDown)) {
+        m_simulation.schedule(noInstance, m_simulation.randomDelay(0.005), [done] { done({}); });
         return;
     }
-    if (random.chance(m_world.m_rates.tableLost)) {
+    if (random.chance(m_simulation.m_rates.tableLost)) {
         const bool takesEffect = random.chance(0.6);
-        const auto delay = random.chance(0.5) ? m_world.randomDelay(0.005) : timeout + m_world.randomDelay(0.5);
+        const auto delay
+            = random.chance(0.5) ? m_simulation.randomDelay(0.005) : timeout + m_simulation.randomDelay(0.5);
         if (takesEffect)
-            m_world.schedule(noInstance, delay, [this, transaction] { apply(transaction); });
-        m_world.schedule(noInstance, timeout, [done] { done({ store::TransactEnd::Ambiguous, {} }); });
+            m_simulation.schedule(noInstance, delay, [this, transaction] { apply(transaction); });
+        m_simulation.schedule(noInstance, timeout, [done] { done({ store::TransactEnd::Ambiguous, {} }); });
         return;
     }
-    m_world.schedule(noInstance, m_world.randomDelay(0.005), [this, transaction, done] { done(apply(transaction)); });
+    m_simulation.schedule(
+        noInstance, m_simulation.randomDelay(0.005), [this, transaction, done] { done(apply(transaction)); });
 }
 
 void FaultWorld::FakeTable::read(std::string key, TimePoint, std::function<void(store::ReadResult)> done)
 {
-    const bool succeeds = !m_world.m_random.chance(m_world.m_rates.tableDown);
-    m_world.schedule(noInstance, m_world.randomDelay(0.005), [this, key, done, succeeds] {
+    const bool succeeds = !m_simulation.m_random.chance(m_simulation.m_rates.tableDown);
+    m_simulation.schedule(noInstance, m_simulation.randomDelay(0.005), [this, key, done, succeeds] {
         store::ReadResult result { succeeds, {} };
         const auto it = m_rows.find(key);
         if (succeeds && it != m_rows.end())
@@ -184,7 +186,7 @@
 {
     if (m_events.empty())
         return false;
-    // Runs one event in four out of order, to simulate delays of threads.
+    // Runs up to one event in four out of order, by at most 20 ms, to simulate delayed threads.
     const auto earlier = [](const Event& a, const Event& b) { return a.due < b.due; };
     auto it = std::min_element(m_events.begin(), m_events.end(), earlier);
     if (m_random.chance(0.25)) {
