--- a/include/foxtailwheel/cli/ApiClient.h
+++ b/include/foxtailwheel/cli/ApiClient.h
@@ -12,16 +12,17 @@
 
 namespace foxtailwheel::cli {
 
-/// @brief Calls one instance and waits for the answer.
+/// @brief Blocking HTTP client for the API of one instance.
 class ApiClient {
 public:
-    /// @param bearer Sent as `Authorization: Bearer`.
-    static std::unique_ptr<ApiClient> create(config::Endpoint server, std::string bearer);
+    /// @param bearerToken Sent with each request as `Authorization: Bearer`.
+    static std::unique_ptr<ApiClient> create(config::Endpoint endpoint, std::string bearerToken);
     virtual ~ApiClient() = default;
 
-    /// @brief Sends a request and waits.
-    /// @param onData Takes the chunks of a streamed answer; may be empty.
-    /// @return `Errc::Unreachable` where nothing was sent, `Errc::Ambiguous` where the answer was lost.
+    /// @brief Sends a request and blocks until the response is complete, the call fails or `timeout` has passed.
+    /// @param onData Called for each chunk of a streamed response body, on an I/O thread; may be empty.
+    /// @return The response; `Errc::Unreachable` if nothing was sent; `Errc::Ambiguous` if the request may have been
+    /// processed but no complete response arrived.
     virtual Result<http::Response> send(
         http::Request request, Duration timeout, std::function<void(std::string_view)> onData = {})
         = 0;
--- a/include/foxtailwheel/cli/Explain.h
+++ b/include/foxtailwheel/cli/Explain.h
@@ -6,29 +6,29 @@
 
 namespace foxtailwheel::cli {
 
-/// @brief The log of one process.
+/// @brief The log of one process, read line by line.
 struct LogSource {
-    std::string name; ///< Shown where a line does not begin with a name of its own.
-    std::istream* text = nullptr;
+    std::string name; ///< Process name for lines that have no process name before their time.
+    std::istream* stream = nullptr;
 };
 
-/// @brief One log line that touches a request, or tells that lines are missing.
-struct ExplainedLine {
+/// @brief One log line of a request.
+struct LogEntry {
     std::string time;
     std::string process;
     std::string event;
-    std::string fields; ///< The other `name=value` pairs.
+    std::string fields; ///< The `name=value` pairs after the event.
 
-    friend bool operator==(const ExplainedLine&, const ExplainedLine&) = default;
+    friend bool operator==(const LogEntry&, const LogEntry&) = default;
 };
 
-/// @brief The story of one request, in the order of time over all processes.
-struct Explanation {
-    std::vector<ExplainedLine> lines;
-    std::size_t missing = 0; ///< Lines that were dropped or withheld while the request was in progress.
+/// @brief The log entries of one request from all processes, ordered by time.
+struct RequestTimeline {
+    std::vector<LogEntry> entries;
+    std::size_t missingLines = 0; ///< Number of log lines dropped or suppressed while the request was in progress.
 };
 
-/// @brief Gathers what the logs say of a request.
-Explanation explain(const std::string& request, const std::vector<LogSource>& sources);
+/// @brief Collects the log entries of a request; empty if no line contains its ID.
+RequestTimeline collectTimeline(const std::string& requestId, const std::vector<LogSource>& sources);
 
 } // namespace foxtailwheel::cli
--- a/src/foxtailwheel/cli/ApiClient.cpp
+++ b/src/foxtailwheel/cli/ApiClient.cpp
@@ -11,9 +11,9 @@
 
     class BlockingClient final : public ApiClient {
     public:
-        BlockingClient(config::Endpoint server, std::string bearer)
-            : m_server(std::move(server))
-            , m_bearer(std::move(bearer))
+        BlockingClient(config::Endpoint endpoint, std::string bearerToken)
+            : m_endpoint(std::move(endpoint))
+            , m_bearerToken(std::move(bearerToken))
         {
         }
         ~BlockingClient() override { m_pool->stop(); }
@@ -23,24 +23,24 @@
         Result<http::Response> send(
             http::Request request, Duration timeout, std::function<void(std::string_view)> onData) override
         {
-            request.headers.push_back({ "Authorization", "Bearer " + m_bearer });
-            const auto until = m_clock->now() + timeout;
-            auto answered = std::make_shared<std::promise<http::CallResult>>();
+            request.headers.push_back({ "Authorization", "Bearer " + m_bearerToken });
+            const auto deadline = m_clock->now() + timeout;
+            auto promise = std::make_shared<std::promise<http::CallResult>>();
             http::CallEvents events;
             events.onData = std::move(onData);
-            events.onDone = [answered](http::CallResult result) { answered->set_value(std::move(result)); };
-            m_client->start({ m_server, std::move(request), until, until, false }, std::move(events));
-            auto result = answered->get_future().get();
+            events.onDone = [promise](http::CallResult result) { promise->set_value(std::move(result)); };
+            m_client->start({ m_endpoint, std::move(request), deadline, deadline, false }, std::move(events));
+            auto result = promise->get_future().get();
             if (result.end == http::CallEnd::Complete)
                 return std::move(result.response);
             if (result.end == http::CallEnd::NotSent)
-                return fail(Errc::Unreachable, "cannot reach " + m_server.toString());
-            return fail(Errc::Ambiguous, "the answer of " + m_server.toString() + " was lost: " + result.detail);
+                return fail(Errc::Unreachable, "cannot reach " + m_endpoint.toString());
+            return fail(Errc::Ambiguous, "no complete response from " + m_endpoint.toString() + ": " + result.detail);
         }
 
     private:
-        config::Endpoint m_server;
-        std::string m_bearer;
+        config::Endpoint m_endpoint;
+        std::string m_bearerToken;
         std::unique_ptr<Clock> m_clock = systemClock();
         std::unique_ptr<http::IoPool> m_pool = http::IoPool::create(1);
         std::unique_ptr<http::Client> m_client = http::Client::create(*m_pool, *m_clock);
@@ -48,9 +48,9 @@
 
 } // namespace
 
-std::unique_ptr<ApiClient> ApiClient::create(config::Endpoint server, std::string bearer)
+std::unique_ptr<ApiClient> ApiClient::create(config::Endpoint endpoint, std::string bearerToken)
 {
-    return std::make_unique<BlockingClient>(std::move(server), std::move(bearer));
+    return std::make_unique<BlockingClient>(std::move(endpoint), std::move(bearerToken));
 }
 
 } // namespace foxtailwheel::cli
--- a/src/foxtailwheel/cli/Commands.cpp
+++ b/src/foxtailwheel/cli/Commands.cpp
@@ -28,18 +28,18 @@
     using nlohmann::json;
 
     constexpr Duration operatorTimeout = 12s;
-    constexpr Duration callTimeout = 11min;
-    constexpr auto waitPeriod = 200ms;
-    /// Pages read to find the latest records.
-    constexpr std::size_t mostPages = 1000;
+    constexpr Duration pipelineCallTimeout = 11min;
+    constexpr auto statusPollInterval = 200ms;
+    /// Maximum number of pages read to find the latest records.
+    constexpr std::size_t maxPages = 1000;
 
-    /// One command line being run.
-    class Session {
+    /// Runs the command of one parsed command line.
+    class CommandRunner {
     public:
-        Session(const cxxopts::ParseResult& args, std::ostream& out, std::ostream& err)
+        CommandRunner(const cxxopts::ParseResult& args, std::ostream& out, std::ostream& err)
             : m_args(args)
-            , m_words(m_args.count("words") > 0 ? m_args["words"].as<std::vector<std::string>>()
-                                                : std::vector<std::string>())
+            , m_positionals(m_args.count("words") > 0 ? m_args["words"].as<std::vector<std::string>>()
+                                                      : std::vector<std::string>())
             , m_out(out)
             , m_err(err)
         {
@@ -48,7 +48,7 @@
         ExitCode run();
 
     private:
-        using Command = ExitCode (Session::*)();
+        using Command = ExitCode (CommandRunner::*)();
 
         struct CommandEntry {
             std::string_view name;
@@ -69,93 +69,94 @@
         ExitCode call();
         ExitCode explainRequest();
 
-        bool wantsJson() const { return m_args["output"].as<std::string>() == "json"; }
-        std::string textOption(const std::string& name) const
+        bool isJsonOutput() const { return m_args["output"].as<std::string>() == "json"; }
+        std::string stringOption(const std::string& name) const
         {
             return m_args.count(name) > 0 ? m_args[name].as<std::string>() : std::string();
         }
-        ExitCode complain(ExitCode code, const std::string& message);
+        ExitCode reportError(ExitCode code, const std::string& message);
         std::optional<std::string> readFile(const std::string& path);
-        std::unique_ptr<ApiClient> connect(const std::string& addressOption, const std::string& secretOption);
-        std::optional<json> get(const std::string& target, ExitCode& code);
+        std::unique_ptr<ApiClient> connect(const std::string& addressOption, const std::string& tokenFileOption);
+        std::optional<json> fetchJson(const std::string& target, ExitCode& code);
         ExitCode showRows(const std::string& target, const std::string& key, const std::vector<Column>& columns);
-        std::optional<json> records(const std::string& target, ExitCode& code);
+        std::optional<json> fetchRecords(const std::string& target, ExitCode& code);
         ExitCode showRecords(const std::string& target, const std::vector<Column>& columns);
-        ExitCode sayApplied(const http::Response& response);
-        ExitCode waitInForce(ApiClient& client, std::uint64_t version);
-        ExitCode sayOutcome(const json& body);
+        ExitCode reportApplyResult(const http::Response& response);
+        ExitCode waitUntilActive(ApiClient& client, std::uint64_t version);
+        ExitCode reportOutcome(const json& body);
 
         cxxopts::ParseResult m_args;
-        std::vector<std::string> m_words;
+        std::vector<std::string> m_positionals;
         std::ostream& m_out;
         std::ostream& m_err;
     };
 
-    const std::vector<Session::CommandEntry>& Session::commands()
+    const std::vector<CommandRunner::CommandEntry>& CommandRunner::commands()
     {
         static const std::vector<CommandEntry> table {
-            { "config check", &Session::configCheck },
-            { "config diff", &Session::configDiff },
-            { "config apply", &Session::configApply },
-            { "config show", &Session::configShow },
-            { "config history", &Session::configHistory },
-            { "status", &Session::status },
-            { "backends", &Session::backends },
-            { "accounts", &Session::accounts },
-            { "audit", &Session::audit },
-            { "drain", &Session::drain },
-            { "call", &Session::call },
-            { "explain", &Session::explainRequest },
+            { "config check", &CommandRunner::configCheck },
+            { "config diff", &CommandRunner::configDiff },
+            { "config apply", &CommandRunner::configApply },
+            { "config show", &CommandRunner::configShow },
+            { "config history", &CommandRunner::configHistory },
+            { "status", &CommandRunner::status },
+            { "backends", &CommandRunner::backends },
+            { "accounts", &CommandRunner::accounts },
+            { "audit", &CommandRunner::audit },
+            { "drain", &CommandRunner::drain },
+            { "call", &CommandRunner::call },
+            { "explain", &CommandRunner::explainRequest },
         };
         return table;
     }
 
-    ExitCode Session::complain(ExitCode code, const std::string& message)
+    ExitCode CommandRunner::reportError(ExitCode code, const std::string& message)
     {
         m_err << "foxtailwheel: " << message << "\n";
         return code;
     }
 
-    ExitCode Session::run()
+    ExitCode CommandRunner::run()
     {
-        if (m_words.empty())
-            return complain(ExitCode::Usage, "a command is needed; see --help");
-        const auto first = m_words[0];
-        const auto both = m_words.size() > 1 ? first + " " + m_words[1] : first;
+        if (m_positionals.empty())
+            return reportError(ExitCode::Usage, "missing command; see --help");
+        const auto first = m_positionals[0];
+        const auto firstTwo = m_positionals.size() > 1 ? first + " " + m_positionals[1] : first;
         for (const auto& it : commands()) {
-            if (it.name != first && it.name != both)
+            if (it.name != first && it.name != firstTwo)
                 continue;
-            const auto used = it.name == both && m_words.size() > 1 && it.name != first ? 2 : 1;
-            m_words.erase(m_words.begin(), m_words.begin() + used);
+            const auto consumed = it.name == firstTwo && m_positionals.size() > 1 && it.name != first ? 2 : 1;
+            m_positionals.erase(m_positionals.begin(), m_positionals.begin() + consumed);
             return (this->*it.command)();
         }
-        return complain(ExitCode::Usage, "no command '" + both + "'; see --help");
+        return reportError(ExitCode::Usage, "unknown command '" + firstTwo + "'; see --help");
     }
 
-    std::optional<std::string> Session::readFile(const std::string& path)
+    std::optional<std::string> CommandRunner::readFile(const std::string& path)
     {
         auto text = foxtailwheel::readFile(path);
         if (text)
             return std::move(text).value();
-        complain(ExitCode::Usage, text.error().message());
+        reportError(ExitCode::Usage, text.error().message());
         return std::nullopt;
     }
 
-    std::unique_ptr<ApiClient> Session::connect(const std::string& addressOption, const std::string& secretOption)
+    std::unique_ptr<ApiClient> CommandRunner::connect(
+        const std::string& addressOption, const std::string& tokenFileOption)
     {
         config::Endpoint endpoint;
-        if (!config::parseEndpoint(textOption(addressOption), endpoint)) {
-            complain(ExitCode::Usage, "--" + addressOption + " IP:PORT is needed");
+        if (!config::parseEndpoint(stringOption(addressOption), endpoint)) {
+            reportError(ExitCode::Usage, "missing or invalid option --" + addressOption + " IP:PORT");
             return nullptr;
         }
-        auto secret = readFile(textOption(secretOption));
-        if (!secret)
+        auto token = readFile(stringOption(tokenFileOption));
+        if (!token)
             return nullptr;
-        secret->erase(secret->find_last_not_of(" \r\n") + 1);
-        return ApiClient::create(endpoint, *secret);
+        token->erase(token->find_last_not_of(" \r\n") + 1);
+        return ApiClient::create(endpoint, *token);
     }
 
-    std::optional<json> Session::get(const std::string& target, ExitCode& code)
+    std::optional<json> CommandRunner::fetchJson(const std::string& target, ExitCode& code)
     {
         const auto client = connect("operators", "token-file");
         code = ExitCode::Usage;
@@ -163,74 +164,75 @@
             return std::nullopt;
         const auto response = client->send({ "GET", target, {}, {} }, operatorTimeout);
         if (!response.has_value()) {
-            code = complain(ExitCode::Unavailable, response.error().message());
+            code = reportError(ExitCode::Unavailable, response.error().message());
             return std::nullopt;
         }
         auto body = json::parse(response.value().body, nullptr, false);
         if (response.value().status != 200) {
-            code = complain(response.value().status == 503 ? ExitCode::Unavailable : ExitCode::Failed,
-                textAt(body, "message", "the instance refused"));
+            code = reportError(response.value().status == 503 ? ExitCode::Unavailable : ExitCode::Failed,
+                textAt(body, "message", "the instance rejected the request"));
             return std::nullopt;
         }
         code = ExitCode::Ok;
         return body;
     }
 
-    ExitCode Session::showRows(const std::string& target, const std::string& key, const std::vector<Column>& columns)
+    ExitCode CommandRunner::showRows(
+        const std::string& target, const std::string& key, const std::vector<Column>& columns)
     {
         ExitCode code = ExitCode::Ok;
-        const auto body = get(target, code);
+        const auto body = fetchJson(target, code);
         if (!body)
             return code;
-        if (wantsJson())
+        if (isJsonOutput())
             m_out << body->dump(2) << "\n";
         else
             printTable(m_out, columns, arrayAt(*body, key));
         return ExitCode::Ok;
     }
 
-    /// Reads the records after `--after`; without it, the latest ones.
-    std::optional<json> Session::records(const std::string& target, ExitCode& code)
+    /// Fetches one page of records after `--after`, or without it the latest `--limit` records.
+    std::optional<json> CommandRunner::fetchRecords(const std::string& target, ExitCode& code)
     {
         const auto limit = m_args["limit"].as<unsigned>();
-        auto after = textOption("after");
-        const std::size_t pages = after.empty() ? mostPages : 1;
-        json kept = json::array();
+        auto after = stringOption("after");
+        const std::size_t pages = after.empty() ? maxPages : 1;
+        json records = json::array();
         for (std::size_t i = 0; i < pages; ++i) {
             const auto body
-                = get(target + "?limit=" + std::to_string(limit) + "&after=" + http::percentEncode(after), code);
+                = fetchJson(target + "?limit=" + std::to_string(limit) + "&after=" + http::percentEncode(after), code);
             if (!body)
                 return std::nullopt;
             const auto& rows = arrayAt(*body, "rows");
             for (const auto& it : rows)
-                kept.push_back(it["record"]);
+                records.push_back(it["record"]);
             if (rows.size() < limit || rows.empty())
                 break;
             after = textAt(rows.back(), "key");
         }
-        while (kept.size() > limit)
-            kept.erase(kept.begin());
-        return kept;
+        while (records.size() > limit)
+            records.erase(records.begin());
+        return records;
     }
 
-    ExitCode Session::showRecords(const std::string& target, const std::vector<Column>& columns)
+    ExitCode CommandRunner::showRecords(const std::string& target, const std::vector<Column>& columns)
     {
         ExitCode code = ExitCode::Ok;
-        const auto shown = records(target, code);
-        if (!shown)
+        const auto records = fetchRecords(target, code);
+        if (!records)
             return code;
-        if (wantsJson())
-            m_out << shown->dump(2) << "\n";
+        if (isJsonOutput())
+            m_out << records->dump(2) << "\n";
         else
-            printTable(m_out, columns, *shown);
+            printTable(m_out, columns, *records);
         return ExitCode::Ok;
     }
 
-    ExitCode Session::configCheck()
+    ExitCode CommandRunner::configCheck()
     {
-        if (m_words.empty())
-            return complain(ExitCode::Usage, "config check FILE");
-        const auto text = readFile(m_words[0]);
+        if (m_positionals.empty())
+            return reportError(ExitCode::Usage, "usage: config check FILE");
+        const auto text = readFile(m_positionals[0]);
         if (!text)
             return ExitCode::Usage;
         const auto parsed = config::parseDeclarations(*text);
@@ -238,45 +240,46 @@
             m_err << config::describe(parsed.faults);
             return ExitCode::Invalid;
         }
-        m_out << m_words[0] << ": valid, " << parsed.declarations.services.size() << " services, "
+        m_out << m_positionals[0] << ": valid, " << parsed.declarations.services.size() << " services, "
               << parsed.declarations.pipelines.size() << " pipelines\n";
         return ExitCode::Ok;
     }
 
-    ExitCode Session::configDiff()
+    ExitCode CommandRunner::configDiff()
     {
-        if (m_words.empty())
-            return complain(ExitCode::Usage, "config diff FILE");
-        const auto text = readFile(m_words[0]);
+        if (m_positionals.empty())
+            return reportError(ExitCode::Usage, "usage: config diff FILE");
+        const auto text = readFile(m_positionals[0]);
         if (!text)
             return ExitCode::Usage;
-        const auto wanted = config::parseDeclarations(*text);
-        if (!wanted.valid()) {
-            m_err << config::describe(wanted.faults);
+        const auto desired = config::parseDeclarations(*text);
+        if (!desired.valid()) {
+            m_err << config::describe(desired.faults);
             return ExitCode::Invalid;
         }
         ExitCode code = ExitCode::Ok;
-        const auto body = get("/v1/config", code);
+        const auto body = fetchJson("/v1/config", code);
         if (!body)
             return code;
-        const auto current = textAt(*body, "text");
-        const auto before = current.empty() ? config::ParsedDeclarations() : config::parseDeclarations(current);
-        for (const auto& it : config::difference(before.declarations, wanted.declarations))
+        const auto currentText = textAt(*body, "text");
+        const auto current
+            = currentText.empty() ? config::ParsedDeclarations() : config::parseDeclarations(currentText);
+        for (const auto& it : config::difference(current.declarations, desired.declarations))
             m_out << config::describe(it) << "\n";
         return ExitCode::Ok;
     }
 
-    ExitCode Session::sayApplied(const http::Response& response)
+    ExitCode CommandRunner::reportApplyResult(const http::Response& response)
     {
         const auto body = json::parse(response.body, nullptr, false);
-        if (wantsJson())
+        if (isJsonOutput())
             m_out << body.dump(2) << "\n";
         if (response.status == 200) {
-            if (!wantsJson())
+            if (!isJsonOutput())
                 m_out << "accepted as version " << countAt(body, "version") << "\n";
             return ExitCode::Ok;
         }
-        complain(ExitCode::Failed, textAt(body, "message", "the change was refused"));
+        reportError(ExitCode::Failed, textAt(body, "message", "the change was rejected"));
         for (const auto& it : arrayAt(body, "faults"))
             m_err << "  " << countAt(it, "line") << ":" << countAt(it, "column") << " " << textAt(it, "path") << ": "
                   << textAt(it, "message") << "\n";
@@ -296,89 +299,89 @@
         }
     }
 
-    ExitCode Session::waitInForce(ApiClient& client, std::uint64_t version)
+    ExitCode CommandRunner::waitUntilActive(ApiClient& client, std::uint64_t version)
     {
-        const auto limit = config::parseDuration(m_args["wait-limit"].as<std::string>());
-        const auto started = std::chrono::steady_clock::now();
-        const auto until = started + (limit.has_value() ? limit.value() : Duration(10s));
-        std::string behind;
-        while (std::chrono::steady_clock::now() < until) {
+        const auto timeout = config::parseDuration(m_args["wait-limit"].as<std::string>());
+        const auto startTime = std::chrono::steady_clock::now();
+        const auto deadline = startTime + (timeout.has_value() ? timeout.value() : Duration(10s));
+        std::string laggingInstances;
+        while (std::chrono::steady_clock::now() < deadline) {
             const auto response = client.send({ "GET", "/v1/status", {}, {} }, operatorTimeout);
-            behind = response.has_value() ? std::string() : "unreachable";
+            laggingInstances = response.has_value() ? std::string() : "unreachable";
             const auto body = response.has_value() ? json::parse(response.value().body, nullptr, false) : json();
             for (const auto& it : arrayAt(body, "members")) {
                 if (countAt(it, "config_version") < version && textAt(it, "state") != "leaving")
-                    behind += (behind.empty() ? "" : ", ") + textAt(it, "instance");
+                    laggingInstances += (laggingInstances.empty() ? "" : ", ") + textAt(it, "instance");
             }
-            if (behind.empty()) {
-                const auto took
-                    = std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::steady_clock::now() - started);
+            if (laggingInstances.empty()) {
+                const auto elapsed = std::chrono::duration_cast<std::chrono::milliseconds>(
+                    std::chrono::steady_clock::now() - startTime);
                 m_out << "version " << version << " in force on " << arrayAt(body, "members").size()
-                      << " instances after " << took.count() << " ms\n";
+                      << " instances after " << elapsed.count() << " ms\n";
                 return ExitCode::Ok;
             }
-            std::this_thread::sleep_for(waitPeriod);
+            std::this_thread::sleep_for(statusPollInterval);
         }
-        return complain(ExitCode::Failed, "accepted, but not yet in force on: " + behind);
+        return reportError(ExitCode::Failed, "accepted, but not yet in force on: " + laggingInstances);
     }
 
-    ExitCode Session::configApply()
+    ExitCode CommandRunner::configApply()
     {
-        if (m_words.empty())
-            return complain(ExitCode::Usage, "config apply FILE");
-        const auto text = readFile(m_words[0]);
+        if (m_positionals.empty())
+            return reportError(ExitCode::Usage, "usage: config apply FILE");
+        const auto text = readFile(m_positionals[0]);
         const auto client = text ? connect("operators", "token-file") : nullptr;
         if (!client)
             return ExitCode::Usage;
-        auto change = textOption("change-id");
-        if (change.empty())
-            change = Random(systemSeed()).token();
-        json body { { "text", *text }, { "change", change }, { "author", m_args["author"].as<std::string>() },
-            { "note", textOption("note") } };
+        auto changeId = stringOption("change-id");
+        if (changeId.empty())
+            changeId = Random(systemSeed()).token();
+        json body { { "text", *text }, { "change", changeId }, { "author", m_args["author"].as<std::string>() },
+            { "note", stringOption("note") } };
         if (m_args.count("base") > 0)
             body["base"] = m_args["base"].as<std::uint64_t>();
         const auto response = client->send(
             { "POST", "/v1/config", { { "Content-Type", "application/json" } }, body.dump() }, operatorTimeout);
         if (!response.has_value()) {
-            const bool lost = response.error().code == make_error_code(Errc::Ambiguous);
-            return complain(lost ? ExitCode::Unknown : ExitCode::Unavailable,
-                response.error().message() + (lost ? "; apply again with --change-id " + change : ""));
+            const bool ambiguous = response.error().code == make_error_code(Errc::Ambiguous);
+            return reportError(ambiguous ? ExitCode::Unknown : ExitCode::Unavailable,
+                response.error().message() + (ambiguous ? "; retry with --change-id " + changeId : ""));
         }
-        const auto code = sayApplied(response.value());
+        const auto code = reportApplyResult(response.value());
         if (code == ExitCode::Unknown)
-            m_err << "  apply again with --change-id " << change << "\n";
+            m_err << "  retry with --change-id " << changeId << "\n";
         if (code != ExitCode::Ok || m_args.count("wait") == 0)
             return code;
-        return waitInForce(*client, countAt(json::parse(response.value().body, nullptr, false), "version"));
+        return waitUntilActive(*client, countAt(json::parse(response.value().body, nullptr, false), "version"));
     }
 
-    ExitCode Session::configShow()
+    ExitCode CommandRunner::configShow()
     {
         ExitCode code = ExitCode::Ok;
-        const auto body = get("/v1/config", code);
+        const auto body = fetchJson("/v1/config", code);
         if (!body)
             return code;
-        if (wantsJson())
+        if (isJsonOutput())
             m_out << body->dump(2) << "\n";
         else
             m_out << "# version " << countAt(*body, "version") << "\n" << textAt(*body, "text");
         return ExitCode::Ok;
     }
 
-    ExitCode Session::configHistory()
+    ExitCode CommandRunner::configHistory()
     {
         return showRecords("/v1/config/history",
             { { "VERSION", "version" }, { "AUTHOR", "author" }, { "AT_MS", "at_ms" }, { "NOTE", "note" },
                 { "SUMMARY", "summary" } });
     }
 
-    ExitCode Session::status()
+    ExitCode CommandRunner::status()
     {
         ExitCode code = ExitCode::Ok;
-        const auto body = get("/v1/status", code);
+        const auto body = fetchJson("/v1/status", code);
         if (!body)
             return code;
-        if (wantsJson()) {
+        if (isJsonOutput()) {
             m_out << body->dump(2) << "\n";
             return ExitCode::Ok;
         }
@@ -393,7 +396,7 @@
         return ExitCode::Ok;
     }
 
-    ExitCode Session::backends()
+    ExitCode CommandRunner::backends()
     {
         return showRows("/v1/backends", "backends",
             { { "SERVICE", "service" }, { "SERVER", "server" }, { "ZONE", "zone" }, { "ADDRESS", "address" },
@@ -401,20 +404,20 @@
                 { "USED", "used" } });
     }
 
-    ExitCode Session::accounts()
+    ExitCode CommandRunner::accounts()
     {
         return showRows("/v1/accounts", "accounts",
             { { "ACCOUNT", "account" }, { "WEIGHT", "weight" }, { "RATE/S", "rate_per_second" } });
     }
 
-    ExitCode Session::audit()
+    ExitCode CommandRunner::audit()
     {
         return showRecords("/v1/audit",
             { { "AT_MS", "at_ms" }, { "AUTHOR", "author" }, { "ACTION", "action" }, { "INSTANCE", "instance" },
                 { "VERSION", "version" }, { "SUMMARY", "summary" } });
     }
 
-    ExitCode Session::drain()
+    ExitCode CommandRunner::drain()
     {
         const auto client = connect("operators", "token-file");
         if (!client)
@@ -422,48 +425,52 @@
         const json body { { "author", m_args["author"].as<std::string>() } };
         const auto response = client->send({ "POST", "/v1/drain", {}, body.dump() }, operatorTimeout);
         if (!response.has_value())
-            return complain(ExitCode::Unavailable, response.error().message());
+            return reportError(ExitCode::Unavailable, response.error().message());
         if (response.value().status != 200)
-            return complain(ExitCode::Failed, response.value().body);
-        m_out << (wantsJson() ? response.value().body : std::string("draining")) << "\n";
+            return reportError(ExitCode::Failed, response.value().body);
+        m_out << (isJsonOutput() ? response.value().body : std::string("draining")) << "\n";
         return ExitCode::Ok;
     }
 
-    ExitCode Session::explainRequest()
+    ExitCode CommandRunner::explainRequest()
     {
-        if (m_words.empty())
-            return complain(ExitCode::Usage, "explain needs the id of a request");
+        if (m_positionals.empty())
+            return reportError(ExitCode::Usage, "explain requires a request ID");
         std::vector<std::unique_ptr<std::ifstream>> files;
         std::vector<LogSource> sources;
-        for (std::size_t i = 1; i < m_words.size(); ++i) {
-            files.push_back(std::make_unique<std::ifstream>(m_words[i]));
+        for (std::size_t i = 1; i < m_positionals.size(); ++i) {
+            files.push_back(std::make_unique<std::ifstream>(m_positionals[i]));
             if (!*files.back())
-                return complain(ExitCode::Usage, "cannot read '" + m_words[i] + "'");
-            sources.push_back({ m_words[i], files.back().get() });
+                return reportError(ExitCode::Usage, "cannot read '" + m_positionals[i] + "'");
+            sources.push_back({ m_positionals[i], files.back().get() });
         }
         if (sources.empty())
             sources.push_back({ "-", &std::cin });
-        const auto story = explain(m_words[0], sources);
-        json lines = json::array();
-        for (const auto& it : story.lines)
-            lines.push_back(
+        const auto timeline = collectTimeline(m_positionals[0], sources);
+        json entries = json::array();
+        for (const auto& it : timeline.entries)
+            entries.push_back(
                 { { "time", it.time }, { "process", it.process }, { "event", it.event }, { "fields", it.fields } });
-        if (wantsJson()) {
-            m_out << json { { "request", m_words[0] }, { "lines", lines }, { "missing", story.missing } }.dump(2)
+        if (isJsonOutput()) {
+            m_out << json { { "request", m_positionals[0] }, { "lines", entries },
+                { "missing", timeline.missingLines } }
+                         .dump(2)
                   << "\n";
         } else {
             printTable(m_out,
-                { { "TIME", "time" }, { "PROCESS", "process" }, { "EVENT", "event" }, { "FIELDS", "fields" } }, lines);
-            if (story.missing > 0)
-                m_out << story.missing << " lines of these processes are missing in this time\n";
+                { { "TIME", "time" }, { "PROCESS", "process" }, { "EVENT", "event" }, { "FIELDS", "fields" } },
+                entries);
+            if (timeline.missingLines > 0)
+                m_out << timeline.missingLines << " lines of these processes are missing in this time\n";
         }
-        return story.lines.empty() ? complain(ExitCode::Failed, "no line touches request '" + m_words[0] + "'")
-                                   : ExitCode::Ok;
+        return timeline.entries.empty()
+            ? reportError(ExitCode::Failed, "no log line mentions request '" + m_positionals[0] + "'")
+            : ExitCode::Ok;
     }
 
-    ExitCode Session::sayOutcome(const json& body)
+    ExitCode CommandRunner::reportOutcome(const json& body)
     {
-        if (wantsJson()) {
+        if (isJsonOutput()) {
             m_out << body.dump(2) << "\n";
         } else {
             m_out << "outcome  " << textAt(body, "outcome")
@@ -486,89 +493,90 @@
         return outcome == "not_run" ? ExitCode::NotRun : ExitCode::Unknown;
     }
 
-    ExitCode Session::call()
+    ExitCode CommandRunner::call()
     {
-        if (m_words.empty())
-            return complain(ExitCode::Usage, "call PIPELINE --json OBJECT");
+        if (m_positionals.empty())
+            return reportError(ExitCode::Usage, "usage: call PIPELINE --json OBJECT");
         const auto client = connect("callers", "credential-file");
         if (!client)
             return ExitCode::Usage;
-        http::Request request { "POST", "/v1/pipelines/" + m_words[0] + "/runs",
-            { { "Content-Type", "application/json" } }, textOption("json") };
-        if (!textOption("key").empty())
-            request.headers.push_back({ "Idempotency-Key", textOption("key") });
-        if (!textOption("deadline").empty())
-            request.headers.push_back({ "X-Deadline", textOption("deadline") });
+        http::Request request { "POST", "/v1/pipelines/" + m_positionals[0] + "/runs",
+            { { "Content-Type", "application/json" } }, stringOption("json") };
+        if (!stringOption("key").empty())
+            request.headers.push_back({ "Idempotency-Key", stringOption("key") });
+        if (!stringOption("deadline").empty())
+            request.headers.push_back({ "X-Deadline", stringOption("deadline") });
         std::string events;
         std::function<void(std::string_view)> onData;
         if (m_args.count("stream") > 0) {
             request.headers.push_back({ "Accept", "text/event-stream" });
             onData = [&](std::string_view chunk) { events.append(chunk); };
         }
-        const auto response = client->send(std::move(request), callTimeout, onData);
+        const auto response = client->send(std::move(request), pipelineCallTimeout, onData);
         if (!response.has_value()) {
-            const bool lost = response.error().code == make_error_code(Errc::Ambiguous);
-            return complain(lost ? ExitCode::Unknown : ExitCode::NotRun, response.error().message());
+            const bool ambiguous = response.error().code == make_error_code(Errc::Ambiguous);
+            return reportError(ambiguous ? ExitCode::Unknown : ExitCode::NotRun, response.error().message());
         }
         if (events.empty())
-            return sayOutcome(json::parse(response.value().body, nullptr, false));
+            return reportOutcome(json::parse(response.value().body, nullptr, false));
         std::istringstream lines(events);
         json last;
         for (std::string line; std::getline(lines, line);) {
             if (!line.starts_with("data: "))
                 continue;
             last = json::parse(line.substr(6), nullptr, false);
-            if (!wantsJson() && last.contains("text"))
+            if (!isJsonOutput() && last.contains("text"))
                 m_out << textAt(last, "text");
         }
-        m_out << (wantsJson() ? "" : "\n");
-        return sayOutcome(last);
+        m_out << (isJsonOutput() ? "" : "\n");
+        return reportOutcome(last);
     }
 
     cxxopts::Options makeOptions()
     {
-        cxxopts::Options options("foxtailwheel", "Operators' tool of the foxtailwheel serving system.\n");
+        cxxopts::Options options("foxtailwheel", "Operator command line tool of the foxtailwheel serving system.\n");
         options.positional_help("COMMAND [ARGUMENT]");
         auto add = options.add_options();
-        add("words", "command and its arguments", cxxopts::value<std::vector<std::string>>());
-        add("operators", "operators' address of an instance, IP:PORT", cxxopts::value<std::string>());
-        add("token-file", "file with the operators' token", cxxopts::value<std::string>());
-        add("callers", "callers' address of an instance, IP:PORT (call)", cxxopts::value<std::string>());
+        add("words", "the command and its arguments", cxxopts::value<std::vector<std::string>>());
+        add("operators", "address of the operator API of an instance, IP:PORT", cxxopts::value<std::string>());
+        add("token-file", "file with the bearer token of the operator API", cxxopts::value<std::string>());
+        add("callers", "address of the caller API of an instance, IP:PORT (call)", cxxopts::value<std::string>());
         add("credential-file", "file with the client account's credential (call)", cxxopts::value<std::string>());
-        add("output", "table or json", cxxopts::value<std::string>()->default_value("table"));
-        add("author", "who makes the change (config apply, drain)",
+        add("output", "output format: table or json", cxxopts::value<std::string>()->default_value("table"));
+        add("author", "author of the change or operation (config apply, drain)",
             cxxopts::value<std::string>()->default_value("unknown"));
-        add("note", "why the change is made (config apply)", cxxopts::value<std::string>());
-        add("base", "version that was edited; the one in force where it is left out (config apply)",
+        add("note", "reason for the change (config apply)", cxxopts::value<std::string>());
+        add("base", "version that the change is based on; default: the active version (config apply)",
             cxxopts::value<std::uint64_t>());
-        add("change-id", "repeats a change whose answer was lost (config apply)", cxxopts::value<std::string>());
-        add("wait", "wait until the change is in force on all live instances (config apply)");
-        add("wait-limit", "longest wait", cxxopts::value<std::string>()->default_value("10s"));
-        add("limit", "rows at most (config history, audit)", cxxopts::value<unsigned>()->default_value("50"));
-        add("after", "rows after this key (config history, audit)", cxxopts::value<std::string>());
-        add("json", "the request, a JSON object (call)", cxxopts::value<std::string>()->default_value("{}"));
-        add("key", "Idempotency-Key (call)", cxxopts::value<std::string>());
-        add("deadline", "deadline such as 1500ms (call)", cxxopts::value<std::string>());
-        add("stream", "stream the tokens (call)");
+        add("change-id", "ID of an earlier change to retry after its response was lost (config apply)",
+            cxxopts::value<std::string>());
+        add("wait", "wait until the change is active on all live instances (config apply)");
+        add("wait-limit", "timeout of --wait", cxxopts::value<std::string>()->default_value("10s"));
+        add("limit", "maximum number of rows (config history, audit)", cxxopts::value<unsigned>()->default_value("50"));
+        add("after", "show the rows after this key (config history, audit)", cxxopts::value<std::string>());
+        add("json", "request body, a JSON object (call)", cxxopts::value<std::string>()->default_value("{}"));
+        add("key", "value of the Idempotency-Key header (call)", cxxopts::value<std::string>());
+        add("deadline", "request deadline, such as 1500ms (call)", cxxopts::value<std::string>());
+        add("stream", "stream the response tokens (call)");
         add("h,help", "print this help");
         options.parse_positional({ "words" });
         return options;
     }
 
-    constexpr std::string_view helpTail = R"(
+    constexpr std::string_view helpFooter = R"(
 Commands:
-  config check FILE    check declarations; all faults are printed
-  config diff FILE     what FILE would change
-  config apply FILE    make FILE the configuration
-  config show          the configuration in force
-  config history       accepted changes
-  status               one instance and its members
-  backends             backend servers as one instance sees them
-  accounts             client accounts
-  audit                audit trail of changes and operations
+  config check FILE    validate a configuration file and print every error
+  config diff FILE     show what applying FILE would change
+  config apply FILE    make FILE the active configuration
+  config show          print the active configuration
+  config history       list accepted changes
+  status               show one instance and the members it sees
+  backends             list backend servers as seen by one instance
+  accounts             list client accounts
+  audit                show the audit trail of changes and operations
   drain                shut one instance down gracefully
   call PIPELINE        run a pipeline as a client account
-  explain ID [FILE...] the story of one request from log files, or from standard input
+  explain ID [FILE...] show the log entries of one request, from log files or standard input
 
 Exit codes: 0 done, 1 failed, 2 usage, 3 invalid configuration, 4 conflict, 5 unavailable, 6 not run, 7 unknown.
 
@@ -591,15 +599,15 @@
     try {
         const auto parsed = options.parse(static_cast<int>(argv.size()), argv.data());
         if (parsed.count("help") > 0) {
-            out << options.help() << helpTail;
+            out << options.help() << helpFooter;
             return ExitCode::Ok;
         }
         const auto output = parsed["output"].as<std::string>();
         if (output != "table" && output != "json") {
-            err << "foxtailwheel: --output is table or json\n";
+            err << "foxtailwheel: --output must be table or json\n";
             return ExitCode::Usage;
         }
-        return Session(parsed, out, err).run();
+        return CommandRunner(parsed, out, err).run();
     } catch (const cxxopts::exceptions::exception& ex) {
         err << "foxtailwheel: " << ex.what() << "\n";
         return ExitCode::Usage;
--- a/src/foxtailwheel/cli/CommandsTest.cpp
+++ b/src/foxtailwheel/cli/CommandsTest.cpp
@@ -11,13 +11,13 @@
 
 namespace {
 
-struct Outcome {
+struct CommandResult {
     ExitCode code = ExitCode::Ok;
     std::string out;
     std::string err;
 };
 
-Outcome run(const std::vector<std::string>& args)
+CommandResult run(const std::vector<std::string>& args)
 {
     std::ostringstream out;
     std::ostringstream err;
@@ -25,9 +25,9 @@
     return { code, out.str(), err.str() };
 }
 
-std::string fileWith(const std::string& text)
+std::string writeTempFile(const std::string& text)
 {
-    // Tests run side by side, each in a process of its own.
+    // Tests run in parallel, each in its own process, so the process ID makes the path unique.
     const std::string path = "/tmp/foxtailwheel-commands-test-" + std::to_string(::getpid());
     std::ofstream(path) << text;
     return path;
@@ -35,7 +35,7 @@
 
 } // namespace
 
-Test(Commands, helpNamesEveryCommand)
+Test(Commands, helpListsEveryCommand)
 {
     const auto help = run({ "--help" });
     cr_assert(help.code == ExitCode::Ok);
@@ -44,7 +44,7 @@
         cr_assert(help.out.find(name) != std::string::npos, "%s", name);
 }
 
-Test(Commands, badUsageIsToldApart)
+Test(Commands, invalidUsageReturnsUsageCode)
 {
     cr_assert(run({}).code == ExitCode::Usage);
     cr_assert(run({ "dance" }).code == ExitCode::Usage);
@@ -54,18 +54,18 @@
     cr_assert(run({ "config", "check", "/nowhere/at/all" }).code == ExitCode::Usage);
 }
 
-Test(Commands, checkPrintsEveryFault)
+Test(Commands, configCheckReportsEveryError)
 {
-    const auto checked = run({ "config", "check", fileWith("zones: []\nservises: []\n") });
-    cr_assert(checked.code == ExitCode::Invalid);
-    cr_assert(checked.err.find("did you mean `services`?") != std::string::npos);
-    cr_assert(checked.err.find("needs at least one availability zone") != std::string::npos);
+    const auto result = run({ "config", "check", writeTempFile("zones: []\nservises: []\n") });
+    cr_assert(result.code == ExitCode::Invalid);
+    cr_assert(result.err.find("did you mean `services`?") != std::string::npos);
+    cr_assert(result.err.find("needs at least one availability zone") != std::string::npos);
 }
 
-Test(Commands, anInstanceThatIsNotThereIsUnavailable)
+Test(Commands, unreachableInstanceReturnsUnavailable)
 {
     const auto status
-        = run({ "status", "--operators", "127.0.0.1:1", "--token-file", fileWith("some-token-of-an-operator") });
+        = run({ "status", "--operators", "127.0.0.1:1", "--token-file", writeTempFile("some-token-of-an-operator") });
     cr_assert(status.code == ExitCode::Unavailable);
 }
 
--- a/src/foxtailwheel/cli/ExplainTest.cpp
+++ b/src/foxtailwheel/cli/ExplainTest.cpp
@@ -5,7 +5,7 @@
 
 using namespace foxtailwheel::cli;
 
-Test(Explain, oneRequestOverSeveralProcessesInTheOrderOfTime)
+Test(Explain, mergesEntriesOfSeveralProcessesByTime)
 {
     std::istringstream a(
         "time=2026-12-04T10:00:00.010Z level=INFO event=request_accepted request=r1 route=x\n"
@@ -13,27 +13,27 @@
         "time=2026-12-04T10:00:00.900Z level=INFO event=request_refused request=r1 reason=overloaded\n");
     std::istringstream b(
         "  0.5 front-2 time=2026-12-04T10:00:00.300Z level=INFO event=stage_done request=r1 stage=0\n");
-    const auto story = explain("r1", { { "a.log", &a }, { "b.log", &b } });
-    cr_assert_eq(story.lines.size(), 3);
-    cr_assert_eq(story.lines[0].event, "request_accepted");
-    cr_assert_eq(story.lines[0].process, "a.log");
-    cr_assert_eq(story.lines[1].process, "front-2");
-    cr_assert_eq(story.lines[2].fields, "request=r1 reason=overloaded");
-    cr_assert_eq(story.missing, 0);
+    const auto timeline = collectTimeline("r1", { { "a.log", &a }, { "b.log", &b } });
+    cr_assert_eq(timeline.entries.size(), 3);
+    cr_assert_eq(timeline.entries[0].event, "request_accepted");
+    cr_assert_eq(timeline.entries[0].process, "a.log");
+    cr_assert_eq(timeline.entries[1].process, "front-2");
+    cr_assert_eq(timeline.entries[2].fields, "request=r1 reason=overloaded");
+    cr_assert_eq(timeline.missingLines, 0);
 }
 
-Test(Explain, missingLinesAreTold)
+Test(Explain, countsLinesMissingDuringTheRequest)
 {
     std::istringstream a("time=2026-12-04T10:00:00.010Z level=INFO event=request_accepted request=r1\n"
                          "event=lines_dropped count=7\n"
                          "time=2026-12-04T10:00:00.500Z level=WARN event=lines_withheld of=batch_ended count=5\n"
                          "time=2026-12-04T10:00:00.900Z level=INFO event=request_answered request=r1\n"
                          "time=2026-12-04T10:00:02.000Z level=WARN event=lines_withheld of=batch_ended count=9\n");
-    cr_assert_eq(explain("r1", { { "a", &a } }).missing, 12);
+    cr_assert_eq(collectTimeline("r1", { { "a", &a } }).missingLines, 12);
 }
 
-Test(Explain, anUnknownRequestHasNoStory)
+Test(Explain, unknownRequestHasNoEntries)
 {
     std::istringstream a("time=1 event=request_accepted request=r1\n");
-    cr_assert(explain("r2", { { "a", &a } }).lines.empty());
+    cr_assert(collectTimeline("r2", { { "a", &a } }).entries.empty());
 }
