--- a/examples/choose_a_server.cpp
+++ b/examples/choose_a_server.cpp
@@ -1,4 +1,4 @@
-// Places calls on a pool of backend servers, and shows how a slow one is avoided.
+// Distributes calls over a pool of backend servers; the slow server receives fewer of them.
 #include "foxtailwheel/routing/ServerPool.h"
 
 #include <iostream>
@@ -26,8 +26,8 @@
         const auto placement = pool->place({}, now);
         const auto& id = placement->server.id;
         ++calls[id];
-        const Duration time = id == BackendServerId("slow") ? 80ms : 10ms;
-        pool->ended(id, { routing::CallSign::Good, time, {} }, now);
+        const Duration latency = id == BackendServerId("slow") ? 80ms : 10ms;
+        pool->ended(id, { routing::CallSign::Good, latency, {} }, now);
     }
     for (const auto& it : calls)
         std::cout << it.first << " " << it.second << "\n";
--- a/examples/drive_a_run.cpp
+++ b/examples/drive_a_run.cpp
@@ -1,4 +1,4 @@
-// Drives one run of a pipeline by hand: events in, actions out, at a time of our choosing.
+// Runs a pipeline without I/O: passes events to the state machine, executes the returned actions and supplies the time.
 #include "foxtailwheel/pipeline/Run.h"
 
 #include <iostream>
@@ -8,7 +8,7 @@
 
 namespace {
 
-class PatientPolicy final : public pipeline::RunPolicy {
+class NoHedgingPolicy final : public pipeline::RunPolicy {
 public:
     Duration expectedTime(const pipeline::Stage& stage) const override { return stage.typicalTime; }
     std::optional<Duration> hedgeDelay(const pipeline::Stage& /*stage*/) const override { return std::nullopt; }
@@ -20,15 +20,16 @@
 
 int main()
 {
-    config::Declarations declared;
-    declared.services.resize(2);
-    declared.services[0].id = ServiceId("encode");
-    declared.services[1].id = ServiceId("rerank");
-    declared.services[1].dependsOn = { ServiceId("encode") };
-    declared.pipelines.push_back({ PipelineId("find"), ServiceId("rerank"), 1s, 0 });
-    const auto plan = std::make_shared<const pipeline::Plan>(pipeline::makePlan(declared, PipelineId("find")).value());
+    config::Declarations declarations;
+    declarations.services.resize(2);
+    declarations.services[0].id = ServiceId("encode");
+    declarations.services[1].id = ServiceId("rerank");
+    declarations.services[1].dependsOn = { ServiceId("encode") };
+    declarations.pipelines.push_back({ PipelineId("find"), ServiceId("rerank"), 1s, 0 });
+    const auto plan
+        = std::make_shared<const pipeline::Plan>(pipeline::makePlan(declarations, PipelineId("find")).value());
 
-    PatientPolicy policy;
+    NoHedgingPolicy policy;
     const TimePoint now(1h);
     pipeline::Run run({ RunId(1), plan, pipeline::payloadOf("{}"), now + 1s, false }, policy);
     pipeline::Actions actions;
--- a/examples/gossip.cpp
+++ b/examples/gossip.cpp
@@ -1,4 +1,4 @@
-// Nine instances find each other by gossip, one dies, and the others notice.
+// Nine instances discover each other by gossip; one is killed, and the others detect it.
 #include "foxtailwheel/bench/GossipGroup.h"
 
 #include <iostream>
--- a/src/foxtailwheel/apps/foxtailwheel-bench.cpp
+++ b/src/foxtailwheel/apps/foxtailwheel-bench.cpp
@@ -29,16 +29,17 @@
 
 nlohmann::json toJson(const Row& row)
 {
-    const auto& f = row.figures;
+    const auto& figures = row.figures;
     return { { "deployment", row.scenario.deployment->name }, { "trouble", toString(row.scenario.trouble) },
-        { "load", row.scenario.load }, { "policy", toString(row.scenario.policy) }, { "requests", f.requests },
-        { "attainment", f.attainment }, { "goodput", f.goodput }, { "median_ms", f.medianMs }, { "p99_ms", f.p99Ms },
-        { "first_token_p95_ms", f.firstTokenP95Ms }, { "cross_zone", f.crossZoneShare },
-        { "extra_cost", f.extraCostShare }, { "wasted", f.wastedShare }, { "cost_per_answer_uc", f.costPerAnswer },
-        { "worst_fair_share", f.worstFairShare }, { "cost_by_stage_uc", f.costByStage } };
+        { "load", row.scenario.load }, { "policy", toString(row.scenario.policy) }, { "requests", figures.requests },
+        { "attainment", figures.attainment }, { "goodput", figures.goodput }, { "median_ms", figures.medianMs },
+        { "p99_ms", figures.p99Ms }, { "first_token_p95_ms", figures.firstTokenP95Ms },
+        { "cross_zone", figures.crossZoneShare }, { "extra_cost", figures.extraCostShare },
+        { "wasted", figures.wastedShare }, { "cost_per_answer_uc", figures.costPerAnswer },
+        { "worst_fair_share", figures.worstFairShare }, { "cost_by_stage_uc", figures.costByStage } };
 }
 
-int complain(const Error& error)
+int reportError(const Error& error)
 {
     std::cerr << "foxtailwheel-bench: " << error.message() << "\n";
     return 1;
@@ -50,7 +51,7 @@
     for (const std::string name : { "irish-agency", "stringfold" }) {
         const auto text = readFile("examples/" + name + ".yaml");
         if (!text)
-            return complain(text.error());
+            return reportError(text.error());
         deployments.push_back(bench::deploymentOf(name, text.value()));
     }
     auto rows = bench::makeRows(deployments, args["only"].as<std::string>());
@@ -66,10 +67,10 @@
         bench::printRows(std::cout, rows);
         return 0;
     }
-    const auto knownRed = readFile("KNOWN-RED.txt");
-    if (!knownRed)
-        return complain(knownRed.error());
-    const auto verdict = bench::checkTargets(rows, knownRed.value());
+    const auto knownRedList = readFile("KNOWN-RED.txt");
+    if (!knownRedList)
+        return reportError(knownRedList.error());
+    const auto verdict = bench::checkTargets(rows, knownRedList.value());
     for (const auto& it : verdict.knownRed)
         std::cout << "known red: " << it << "\n";
     for (const auto& it : verdict.broken)
@@ -83,10 +84,10 @@
 
 int main(int argc, char** argv)
 {
-    cxxopts::Options options("foxtailwheel-bench", "Measures the serving policies at injected time.\n");
-    options.add_options()("only", "rows whose name holds this text, such as irish-agency/deaths",
-        cxxopts::value<std::string>()->default_value(""))("json", "print the rows as JSON")(
-        "check", "fail on a broken bound")("h,help", "print this help");
+    cxxopts::Options options("foxtailwheel-bench", "Measures the serving policies in simulated time.\n");
+    options.add_options()("only", "run only the rows whose name contains this text, such as irish-agency/deaths",
+        cxxopts::value<std::string>()->default_value(""))("json", "print the rows as JSON")("check",
+        "exit with 1 if a row is out of its bounds and not listed in KNOWN-RED.txt")("h,help", "print this help");
     try {
         const auto args = options.parse(argc, argv);
         if (args.count("help") > 0) {
--- a/src/foxtailwheel/apps/foxtailwheel-load.cpp
+++ b/src/foxtailwheel/apps/foxtailwheel-load.cpp
@@ -21,60 +21,61 @@
 using namespace std::chrono_literals;
 using nlohmann::json;
 
-constexpr Duration callTimeout = 60s;
-constexpr std::uint64_t tokensAsked = 12;
+constexpr Duration requestTimeout = 60s;
+constexpr std::uint64_t maxTokens = 12;
 
-/// What became of all requests.
-struct Counts {
-    std::atomic<std::uint64_t> whole { 0 };
+/// Number of requests by outcome.
+struct OutcomeCounts {
+    std::atomic<std::uint64_t> correct { 0 };
     std::atomic<std::uint64_t> notRun { 0 };
     std::atomic<std::uint64_t> unknown { 0 };
-    std::atomic<std::uint64_t> cut { 0 }; ///< The connection ended within an answer.
-    std::atomic<std::uint64_t> unsent { 0 };
-    std::atomic<std::uint64_t> wrong { 0 }; ///< Whole, but not the answer to this request.
+    std::atomic<std::uint64_t> truncated { 0 }; ///< The connection closed before the response was complete.
+    std::atomic<std::uint64_t> notSent { 0 };
+    std::atomic<std::uint64_t> mismatched { 0 }; ///< The response is complete but does not match the request.
 };
 
-/// Counts down requests in progress.
-class Latch {
+/// Blocks until every request that was added is done.
+class WaitGroup {
 public:
     void add()
     {
         const std::lock_guard lock(m_mutex);
-        ++m_open;
+        ++m_pending;
     }
     void done()
     {
         const std::lock_guard lock(m_mutex);
-        if (--m_open == 0)
+        if (--m_pending == 0)
             m_changed.notify_all();
     }
     void wait()
     {
         std::unique_lock lock(m_mutex);
-        m_changed.wait(lock, [this] { return m_open == 0; });
+        m_changed.wait(lock, [this] { return m_pending == 0; });
     }
 
 private:
     std::mutex m_mutex;
     std::condition_variable m_changed;
-    std::size_t m_open = 0;
+    std::size_t m_pending = 0;
 };
 
-enum class Kind { Whole, Stream, Portal, Booking };
+enum class RequestKind { Unary, Streaming, Portal, Booking };
 
-std::string promptOf(std::uint64_t n)
+std::string makePrompt(std::uint64_t n)
 {
     return "request number " + std::to_string(n);
 }
 
-json bodyOf(Kind kind, std::uint64_t n)
+json makeBody(RequestKind kind, std::uint64_t n)
 {
-    if (kind == Kind::Whole || kind == Kind::Stream)
-        return { { "prompt", promptOf(n) }, { "max_tokens", tokensAsked } };
+    if (kind == RequestKind::Unary || kind == RequestKind::Streaming)
+        return { { "prompt", makePrompt(n) }, { "max_tokens", maxTokens } };
     return { { "order", n }, { "nets", n % 7 } };
 }
 
-/// Text of a streamed answer; empty unless it ended by its own end mark and no token is missing or doubled.
+/// Returns the text of a streamed response; empty unless the stream contains the `done` event and no token is missing
+/// or duplicated.
 std::string streamedText(const std::string& events)
 {
     std::istringstream lines(events);
@@ -97,155 +98,162 @@
     return done ? text : std::string();
 }
 
-bool isRight(Kind kind, std::uint64_t n, const std::string& body)
+bool isExpectedResponse(RequestKind kind, std::uint64_t n, const std::string& body)
 {
-    const auto wanted = standin::textOf(json(promptOf(n)).dump(), tokensAsked);
-    if (kind == Kind::Stream)
-        return streamedText(body) == wanted;
+    const auto expected = standin::textOf(json(makePrompt(n)).dump(), maxTokens);
+    if (kind == RequestKind::Streaming)
+        return streamedText(body) == expected;
     const auto answer = json::parse(body, nullptr, false);
     if (!answer.is_object() || !answer.contains("result"))
         return false;
-    if (kind == Kind::Whole)
-        return answer["result"] == wanted;
-    return answer["result"].is_object() && answer["result"].value("echo", json()) == bodyOf(kind, n);
+    if (kind == RequestKind::Unary)
+        return answer["result"] == expected;
+    return answer["result"].is_object() && answer["result"].value("echo", json()) == makeBody(kind, n);
 }
 
-class Load {
+class LoadGenerator {
 public:
-    Load(std::vector<config::Endpoint> callers, std::string credential)
-        : m_callers(std::move(callers))
+    LoadGenerator(std::vector<config::Endpoint> callerEndpoints, std::string credential)
+        : m_callerEndpoints(std::move(callerEndpoints))
         , m_credential(std::move(credential))
     {
     }
-    ~Load() { m_pool->stop(); }
-    Load(const Load&) = delete;
-    Load& operator=(const Load&) = delete;
+    ~LoadGenerator() { m_pool->stop(); }
+    LoadGenerator(const LoadGenerator&) = delete;
+    LoadGenerator& operator=(const LoadGenerator&) = delete;
 
-    int check(std::uint64_t requests);
-    int sustain(Duration length, double perSecond);
-    int latency(const config::Endpoint& direct, std::uint64_t requests);
-    int throughput(Duration length, std::size_t atOnce);
+    int runCheck(std::uint64_t requests);
+    int runSustained(Duration duration, double requestsPerSecond);
+    int measureLatency(const config::Endpoint& backend, std::uint64_t requests);
+    int measureThroughput(Duration duration, std::size_t concurrency);
 
 private:
-    void start(const config::Endpoint& to, Kind kind, std::uint64_t n);
-    void ended(Kind kind, std::uint64_t n, const http::CallResult& result, const std::string& streamed);
-    Duration timed(const config::Endpoint& to, const std::string& target, const std::string& body);
-    void keepBusy(const config::Endpoint& to, TimePoint until);
-    int report() const;
-    bool ready(const config::Endpoint& to);
+    void startRequest(const config::Endpoint& endpoint, RequestKind kind, std::uint64_t n);
+    void onRequestDone(RequestKind kind, std::uint64_t n, const http::CallResult& result, const std::string& streamed);
+    Duration measureRequest(const config::Endpoint& endpoint, const std::string& target, const std::string& body);
+    void repeatRequests(const config::Endpoint& endpoint, TimePoint deadline);
+    int printCounts() const;
+    bool isReady(const config::Endpoint& endpoint);
 
-    std::vector<config::Endpoint> m_callers;
+    std::vector<config::Endpoint> m_callerEndpoints;
     std::string m_credential;
     std::unique_ptr<Clock> m_clock = systemClock();
     std::unique_ptr<http::IoPool> m_pool = http::IoPool::create(2);
     std::unique_ptr<http::Client> m_client = http::Client::create(*m_pool, *m_clock);
-    Latch m_latch;
-    Counts m_counts;
+    WaitGroup m_requestsInProgress;
+    OutcomeCounts m_counts;
 };
 
-void Load::start(const config::Endpoint& to, Kind kind, std::uint64_t n)
+void LoadGenerator::startRequest(const config::Endpoint& endpoint, RequestKind kind, std::uint64_t n)
 {
     constexpr std::array<const char*, 4> pipelines { "answer", "answer", "portal", "book" };
-    m_latch.add();
-    const auto until = m_clock->now() + callTimeout;
+    m_requestsInProgress.add();
+    const auto deadline = m_clock->now() + requestTimeout;
     http::Request request { "POST",
         std::string("/v1/pipelines/") + pipelines.at(static_cast<std::size_t>(kind)) + "/runs", {},
-        bodyOf(kind, n).dump() };
+        makeBody(kind, n).dump() };
     request.headers.push_back({ "Authorization", "Bearer " + m_credential });
-    if (kind == Kind::Booking)
+    if (kind == RequestKind::Booking)
         request.headers.push_back({ "Idempotency-Key", "order-" + std::to_string(n) });
-    if (kind == Kind::Stream)
+    if (kind == RequestKind::Streaming)
         request.headers.push_back({ "Accept", "text/event-stream" });
     auto streamed = std::make_shared<std::string>();
     http::CallEvents events;
-    if (kind == Kind::Stream)
+    if (kind == RequestKind::Streaming)
         events.onData = [streamed](std::string_view chunk) { streamed->append(chunk); };
-    events.onDone = [this, kind, n, streamed](const http::CallResult& result) { ended(kind, n, result, *streamed); };
-    m_client->start({ to, std::move(request), until, until, kind != Kind::Booking }, std::move(events));
+    events.onDone
+        = [this, kind, n, streamed](const http::CallResult& result) { onRequestDone(kind, n, result, *streamed); };
+    m_client->start(
+        { endpoint, std::move(request), deadline, deadline, kind != RequestKind::Booking }, std::move(events));
 }
 
-void Load::ended(Kind kind, std::uint64_t n, const http::CallResult& result, const std::string& streamed)
+void LoadGenerator::onRequestDone(
+    RequestKind kind, std::uint64_t n, const http::CallResult& result, const std::string& streamed)
 {
     if (result.end == http::CallEnd::NotSent)
-        ++m_counts.unsent;
+        ++m_counts.notSent;
     else if (result.end != http::CallEnd::Complete)
-        ++m_counts.cut;
+        ++m_counts.truncated;
     else if (result.response.status == 200)
-        ++(isRight(kind, n, kind == Kind::Stream ? streamed : result.response.body) ? m_counts.whole : m_counts.wrong);
+        ++(isExpectedResponse(kind, n, kind == RequestKind::Streaming ? streamed : result.response.body)
+                ? m_counts.correct
+                : m_counts.mismatched);
     else if (textAt(json::parse(result.response.body, nullptr, false), "outcome") == "not_run")
         ++m_counts.notRun;
     else
         ++m_counts.unknown;
-    m_latch.done();
+    m_requestsInProgress.done();
 }
 
-int Load::report() const
+int LoadGenerator::printCounts() const
 {
-    std::cout << "whole " << m_counts.whole << ", not run " << m_counts.notRun << ", unknown " << m_counts.unknown
-              << ", cut " << m_counts.cut << ", not sent " << m_counts.unsent << ", wrong " << m_counts.wrong
-              << std::endl;
-    return m_counts.wrong + m_counts.cut == 0 ? 0 : 1;
+    std::cout << "whole " << m_counts.correct << ", not run " << m_counts.notRun << ", unknown " << m_counts.unknown
+              << ", cut " << m_counts.truncated << ", not sent " << m_counts.notSent << ", wrong "
+              << m_counts.mismatched << std::endl;
+    return m_counts.mismatched + m_counts.truncated == 0 ? 0 : 1;
 }
 
-int Load::check(std::uint64_t requests)
+int LoadGenerator::runCheck(std::uint64_t requests)
 {
     for (std::uint64_t n = 0; n < requests; ++n)
-        start(m_callers[n % m_callers.size()], static_cast<Kind>(n % 4), n);
-    m_latch.wait();
-    const int code = report();
-    return m_counts.whole == requests ? code : 1;
+        startRequest(m_callerEndpoints[n % m_callerEndpoints.size()], static_cast<RequestKind>(n % 4), n);
+    m_requestsInProgress.wait();
+    const int code = printCounts();
+    return m_counts.correct == requests ? code : 1;
 }
 
-bool Load::ready(const config::Endpoint& to)
+bool LoadGenerator::isReady(const config::Endpoint& endpoint)
 {
     std::mutex mutex;
     std::condition_variable changed;
     int status = -1;
-    const auto until = m_clock->now() + 200ms;
+    const auto deadline = m_clock->now() + 200ms;
     http::CallEvents events;
     events.onDone = [&](const http::CallResult& result) {
         const std::lock_guard lock(mutex);
         status = result.end == http::CallEnd::Complete ? static_cast<int>(result.response.status) : 0;
         changed.notify_all();
     };
-    m_client->start({ to, { "GET", "/readyz", {}, {} }, until, until, false }, std::move(events));
+    m_client->start({ endpoint, { "GET", "/readyz", {}, {} }, deadline, deadline, false }, std::move(events));
     std::unique_lock lock(mutex);
     changed.wait(lock, [&] { return status >= 0; });
     return status == 200;
 }
 
-/// Sends at a steady rate to the instances that are ready, as the platform's balancer does, which looks each 100 ms.
-int Load::sustain(Duration length, double perSecond)
+/// Sends at a constant rate to the ready instances. Readiness is probed every 100 ms, as the platform's load balancer
+/// does.
+int LoadGenerator::runSustained(Duration duration, double requestsPerSecond)
 {
-    const auto until = m_clock->now() + length;
-    std::vector<config::Endpoint> usable;
-    TimePoint lookAt {};
+    const auto deadline = m_clock->now() + duration;
+    std::vector<config::Endpoint> readyEndpoints;
+    TimePoint nextProbe {};
     std::uint64_t n = 0;
-    while (m_clock->now() < until) {
-        if (m_clock->now() >= lookAt) {
-            usable.clear();
-            for (const auto& it : m_callers) {
-                if (ready(it))
-                    usable.push_back(it);
+    while (m_clock->now() < deadline) {
+        if (m_clock->now() >= nextProbe) {
+            readyEndpoints.clear();
+            for (const auto& it : m_callerEndpoints) {
+                if (isReady(it))
+                    readyEndpoints.push_back(it);
             }
-            lookAt = m_clock->now() + 100ms;
+            nextProbe = m_clock->now() + 100ms;
         }
-        if (!usable.empty())
-            start(usable[n % usable.size()], static_cast<Kind>(n % 4), n);
+        if (!readyEndpoints.empty())
+            startRequest(readyEndpoints[n % readyEndpoints.size()], static_cast<RequestKind>(n % 4), n);
         ++n;
-        std::this_thread::sleep_for(fromSeconds(1 / perSecond));
+        std::this_thread::sleep_for(fromSeconds(1 / requestsPerSecond));
     }
-    m_latch.wait();
-    const int code = report();
-    return m_counts.notRun + m_counts.unknown + m_counts.unsent == 0 ? code : 1;
+    m_requestsInProgress.wait();
+    const int code = printCounts();
+    return m_counts.notRun + m_counts.unknown + m_counts.notSent == 0 ? code : 1;
 }
 
-Duration Load::timed(const config::Endpoint& to, const std::string& target, const std::string& body)
+Duration LoadGenerator::measureRequest(
+    const config::Endpoint& endpoint, const std::string& target, const std::string& body)
 {
     std::mutex mutex;
     std::condition_variable changed;
     bool done = false;
-    const auto since = m_clock->now();
+    const auto startTime = m_clock->now();
     http::Request request { "POST", target, { { "Authorization", "Bearer " + m_credential } }, body };
     http::CallEvents events;
     events.onDone = [&](const http::CallResult& /*result*/) {
@@ -253,101 +261,106 @@
         done = true;
         changed.notify_all();
     };
-    m_client->start({ to, std::move(request), since + callTimeout, since + callTimeout, true }, std::move(events));
+    m_client->start({ endpoint, std::move(request), startTime + requestTimeout, startTime + requestTimeout, true },
+        std::move(events));
     std::unique_lock lock(mutex);
     changed.wait(lock, [&] { return done; });
-    return m_clock->now() - since;
+    return m_clock->now() - startTime;
 }
 
-/// Calls the backend directly and through an instance in turn, one at a time.
-int Load::latency(const config::Endpoint& direct, std::uint64_t requests)
+/// Alternates between calling the backend directly and through an instance, one request at a time.
+int LoadGenerator::measureLatency(const config::Endpoint& backend, std::uint64_t requests)
 {
     const std::string body = R"({"order": 1})";
-    std::vector<Duration> alone;
-    std::vector<Duration> through;
+    std::vector<Duration> directTimes;
+    std::vector<Duration> proxiedTimes;
     for (std::uint64_t n = 0; n < requests; ++n) {
-        alone.push_back(timed(direct, "/v1/call", R"({"request": {"order": 1}, "inputs": {}})"));
-        through.push_back(timed(m_callers.front(), "/v1/pipelines/portal/runs", body));
+        directTimes.push_back(measureRequest(backend, "/v1/call", R"({"request": {"order": 1}, "inputs": {}})"));
+        proxiedTimes.push_back(measureRequest(m_callerEndpoints.front(), "/v1/pipelines/portal/runs", body));
     }
-    std::sort(alone.begin(), alone.end());
-    std::sort(through.begin(), through.end());
-    const auto at = [requests](const std::vector<Duration>& times, double q) {
-        return toMilliseconds(times[static_cast<std::size_t>(q * static_cast<double>(requests - 1))]);
+    std::sort(directTimes.begin(), directTimes.end());
+    std::sort(proxiedTimes.begin(), proxiedTimes.end());
+    const auto percentile = [requests](const std::vector<Duration>& times, double quantile) {
+        return toMilliseconds(times[static_cast<std::size_t>(quantile * static_cast<double>(requests - 1))]);
     };
-    std::cout << "direct  median " << at(alone, 0.5) << " ms, 99th " << at(alone, 0.99) << " ms\n"
-              << "through median " << at(through, 0.5) << " ms, 99th " << at(through, 0.99) << " ms\n"
-              << "added   median " << at(through, 0.5) - at(alone, 0.5) << " ms, 99th "
-              << at(through, 0.99) - at(alone, 0.99) << " ms" << std::endl;
+    std::cout << "direct  median " << percentile(directTimes, 0.5) << " ms, 99th " << percentile(directTimes, 0.99)
+              << " ms\n"
+              << "through median " << percentile(proxiedTimes, 0.5) << " ms, 99th " << percentile(proxiedTimes, 0.99)
+              << " ms\n"
+              << "added   median " << percentile(proxiedTimes, 0.5) - percentile(directTimes, 0.5) << " ms, 99th "
+              << percentile(proxiedTimes, 0.99) - percentile(directTimes, 0.99) << " ms" << std::endl;
     return 0;
 }
 
-void Load::keepBusy(const config::Endpoint& to, TimePoint until)
+void LoadGenerator::repeatRequests(const config::Endpoint& endpoint, TimePoint deadline)
 {
-    m_latch.add();
+    m_requestsInProgress.add();
     const auto now = m_clock->now();
     http::Request request { "POST", "/v1/pipelines/portal/runs", { { "Authorization", "Bearer " + m_credential } },
         R"({"order": 1})" };
     http::CallEvents events;
-    events.onDone = [this, to, until](const http::CallResult& result) {
-        ++(result.end == http::CallEnd::Complete && result.response.status == 200 ? m_counts.whole : m_counts.notRun);
-        if (m_clock->now() < until)
-            keepBusy(to, until);
-        m_latch.done();
+    events.onDone = [this, endpoint, deadline](const http::CallResult& result) {
+        ++(result.end == http::CallEnd::Complete && result.response.status == 200 ? m_counts.correct : m_counts.notRun);
+        if (m_clock->now() < deadline)
+            repeatRequests(endpoint, deadline);
+        m_requestsInProgress.done();
     };
-    m_client->start({ to, std::move(request), now + callTimeout, now + callTimeout, true }, std::move(events));
+    m_client->start(
+        { endpoint, std::move(request), now + requestTimeout, now + requestTimeout, true }, std::move(events));
 }
 
-/// Keeps `atOnce` requests in progress at one instance.
-int Load::throughput(Duration length, std::size_t atOnce)
+/// Keeps `concurrency` requests in progress on one instance and prints the throughput.
+int LoadGenerator::measureThroughput(Duration duration, std::size_t concurrency)
 {
-    const auto since = m_clock->now();
-    for (std::size_t i = 0; i < atOnce; ++i)
-        keepBusy(m_callers.front(), since + length);
-    m_latch.wait();
-    std::cout << static_cast<double>(m_counts.whole) / toSeconds(m_clock->now() - since) << " requests/s, "
-              << m_counts.whole << " answered, " << m_counts.notRun << " not" << std::endl;
+    const auto startTime = m_clock->now();
+    for (std::size_t i = 0; i < concurrency; ++i)
+        repeatRequests(m_callerEndpoints.front(), startTime + duration);
+    m_requestsInProgress.wait();
+    std::cout << static_cast<double>(m_counts.correct) / toSeconds(m_clock->now() - startTime) << " requests/s, "
+              << m_counts.correct << " answered, " << m_counts.notRun << " not" << std::endl;
     return 0;
 }
 
 int run(const cxxopts::ParseResult& args)
 {
-    std::vector<config::Endpoint> callers;
+    std::vector<config::Endpoint> callerEndpoints;
     for (const auto& it : args["callers"].as<std::vector<std::string>>()) {
         config::Endpoint endpoint;
         if (!config::parseEndpoint(it, endpoint) || !endpoint.host.starts_with("127.")) {
-            std::cerr << "foxtailwheel-load: '" << it << "' is not an address of the loopback range\n";
+            std::cerr << "foxtailwheel-load: '" << it << "' is not a loopback address IP:PORT\n";
             return 2;
         }
-        callers.push_back(endpoint);
+        callerEndpoints.push_back(endpoint);
     }
-    Load load(callers, args["credential"].as<std::string>());
+    LoadGenerator generator(callerEndpoints, args["credential"].as<std::string>());
     const auto mode = args["mode"].as<std::string>();
     const auto requests = std::min<std::uint64_t>(args["requests"].as<std::uint64_t>(), 100000);
-    const auto length = std::min<Duration>(std::chrono::seconds(args["seconds"].as<unsigned>()), 5min);
+    const auto duration = std::min<Duration>(std::chrono::seconds(args["seconds"].as<unsigned>()), 5min);
     if (mode == "check")
-        return load.check(requests);
+        return generator.runCheck(requests);
     if (mode == "sustain")
-        return load.sustain(length, args["rate"].as<double>());
+        return generator.runSustained(duration, args["rate"].as<double>());
     if (mode == "throughput")
-        return load.throughput(length, args["at-once"].as<std::size_t>());
-    config::Endpoint direct;
-    config::parseEndpoint(args["direct"].as<std::string>(), direct);
-    return load.latency(direct, requests);
+        return generator.measureThroughput(duration, args["at-once"].as<std::size_t>());
+    config::Endpoint backend;
+    config::parseEndpoint(args["direct"].as<std::string>(), backend);
+    return generator.measureLatency(backend, requests);
 }
 
 } // namespace
 
 int main(int argc, char** argv)
 {
-    cxxopts::Options options("foxtailwheel-load", "Bounded load on loopback against the stand-ins' answers.\n");
-    options.add_options()("callers", "callers' addresses", cxxopts::value<std::vector<std::string>>())(
-        "credential", "credential of a client account", cxxopts::value<std::string>())(
-        "mode", "check, sustain, latency or throughput", cxxopts::value<std::string>()->default_value("check"))(
-        "requests", "requests (check, latency)", cxxopts::value<std::uint64_t>()->default_value("1000"))(
-        "seconds", "length (sustain, throughput)", cxxopts::value<unsigned>()->default_value("10"))(
-        "rate", "requests a second (sustain)", cxxopts::value<double>()->default_value("200"))(
-        "at-once", "requests in progress (throughput)", cxxopts::value<std::size_t>()->default_value("32"))("direct",
-        "address of a backend stand-in (latency)",
+    cxxopts::Options options(
+        "foxtailwheel-load", "Sends a bounded load to instances on loopback and validates the responses.\n");
+    options.add_options()("callers", "addresses of the caller APIs, IP:PORT",
+        cxxopts::value<std::vector<std::string>>())("credential", "credential of a client account",
+        cxxopts::value<std::string>())("mode", "check, sustain, latency or throughput",
+        cxxopts::value<std::string>()->default_value("check"))("requests", "number of requests (check, latency)",
+        cxxopts::value<std::uint64_t>()->default_value("1000"))("seconds", "duration in seconds (sustain, throughput)",
+        cxxopts::value<unsigned>()->default_value("10"))("rate", "requests per second (sustain)",
+        cxxopts::value<double>()->default_value("200"))("at-once", "concurrent requests (throughput)",
+        cxxopts::value<std::size_t>()->default_value("32"))("direct", "address of a backend stand-in (latency)",
         cxxopts::value<std::string>()->default_value(""))("h,help", "print this help");
     try {
         const auto args = options.parse(argc, argv);
--- a/src/foxtailwheel/apps/foxtailwheel-microbench.cpp
+++ b/src/foxtailwheel/apps/foxtailwheel-microbench.cpp
@@ -9,9 +9,9 @@
 using namespace foxtailwheel;
 using namespace std::chrono_literals;
 
-constexpr TimePoint start { 1h };
+constexpr TimePoint startTime { 1h };
 
-config::Service serviceOf(std::int64_t servers)
+config::Service makeService(std::int64_t servers)
 {
     config::Service service;
     service.id = ServiceId("generate");
@@ -24,12 +24,12 @@
     return service;
 }
 
-std::shared_ptr<config::Declarations> declared(std::int64_t servers, std::int64_t accounts)
+std::shared_ptr<config::Declarations> makeDeclarations(std::int64_t servers, std::int64_t accounts)
 {
     auto declarations = std::make_shared<config::Declarations>();
     declarations->zones = { { AvailabilityZoneId("a"), "r" }, { AvailabilityZoneId("b"), "r" } };
     declarations->links = { { AvailabilityZoneId("a"), AvailabilityZoneId("b"), 3ms, { 8 } } };
-    declarations->services.push_back(serviceOf(servers));
+    declarations->services.push_back(makeService(servers));
     declarations->pipelines.push_back({ PipelineId("answer"), ServiceId("generate"), 9s, 0 });
     for (std::int64_t i = 0; i < accounts; ++i)
         declarations->accounts.push_back(
@@ -37,14 +37,14 @@
     return declarations;
 }
 
-/// Choosing a server and counting the call's end.
+/// Selects a server and records the completion of the call.
 void placeCall(benchmark::State& state)
 {
     routing::PoolOptions options;
     options.self = InstanceId("instance-0");
     options.zone = AvailabilityZoneId("a");
-    const auto pool = routing::ServerPool::create(serviceOf(state.range(0)), *declared(1, 1), options);
-    TimePoint now = start;
+    const auto pool = routing::ServerPool::create(makeService(state.range(0)), *makeDeclarations(1, 1), options);
+    TimePoint now = startTime;
     std::uint64_t prefix = 0;
     for (auto _ : state) {
         now += 1us;
@@ -54,7 +54,7 @@
 }
 BENCHMARK(placeCall)->Arg(10)->Arg(100)->Arg(1000)->Arg(10000);
 
-/// A whole run of one stage: admission, placement, answer, reply.
+/// One complete run of a single-stage pipeline: admission, placement, response, reply.
 void wholeRun(benchmark::State& state)
 {
     serving::DispatcherOptions options;
@@ -62,8 +62,8 @@
     options.pools.zone = AvailabilityZoneId("a");
     options.hedging = false;
     const auto dispatcher = serving::makeDispatcher(options);
-    dispatcher->configure(ConfigVersion(1), declared(state.range(0), state.range(1)));
-    TimePoint now = start;
+    dispatcher->configure(ConfigVersion(1), makeDeclarations(state.range(0), state.range(1)));
+    TimePoint now = startTime;
     std::int64_t n = 0;
     const auto body = pipeline::payloadOf("{}");
     for (auto _ : state) {
@@ -74,12 +74,12 @@
         request.body = body;
         serving::Actions actions;
         dispatcher->submit(dispatcher->newRun(), std::move(request), now, actions);
+        // With hedging off, SendCall is the last action.
         const auto id = std::get<serving::SendCall>(actions.back()).call.id;
         dispatcher->onStreamEnd(id, 0, now, actions);
         benchmark::DoNotOptimize(actions);
     }
 }
-// Without hedging the send is the last action.
 BENCHMARK(wholeRun)
     ->Args({ 20, 5 })
     ->Args({ 10000, 5 })
@@ -87,7 +87,7 @@
     ->Args({ 20, 46000 })
     ->Args({ 10000, 46000 });
 
-/// A run that waits: into the fair queue and out, with `accounts` waiting accounts.
+/// Enqueues and dequeues one run while each of `state.range(0)` accounts has a queued run.
 void fairQueue(benchmark::State& state)
 {
     limits::FairQueue queue;
@@ -95,7 +95,7 @@
     const auto push = [&] {
         ++n;
         queue.push(ClientAccountId("account-" + std::to_string(n % static_cast<std::uint64_t>(state.range(0)))), 1,
-            { RunId(n), 0.4, 0, start });
+            { RunId(n), 0.4, 0, startTime });
     };
     for (std::int64_t i = 0; i < state.range(0); ++i)
         push();
--- a/src/foxtailwheel/apps/foxtailwheel-outcomes.cpp
+++ b/src/foxtailwheel/apps/foxtailwheel-outcomes.cpp
@@ -11,27 +11,27 @@
 using testing::FaultRates;
 using testing::FaultWorld;
 
-constexpr std::uint64_t schedules = 5000;
+constexpr std::uint64_t schedulesPerCase = 5000;
 constexpr std::size_t requestsPerSchedule = 6;
 
-struct Fault {
+struct FaultCase {
     std::string_view name;
     FaultRates rates;
 };
 
-constexpr FaultRates calm { 0, 0, 0, 0, 0, 0, 0, 0, 0, true };
+constexpr FaultRates noFaults { 0, 0, 0, 0, 0, 0, 0, 0, 0, true };
 
-std::array<Fault, 9> faults()
+std::array<FaultCase, 9> faultCases()
 {
-    std::array<Fault, 9> all { {
-        { "none", calm },
-        { "silent calls", calm },
-        { "broken calls and streams", calm },
-        { "refusals and dead servers", calm },
-        { "repeated and crossed results", calm },
-        { "table loses answers", calm },
-        { "table refuses", calm },
-        { "instances die", calm },
+    std::array<FaultCase, 9> all { {
+        { "none", noFaults },
+        { "silent calls", noFaults },
+        { "broken calls and streams", noFaults },
+        { "refusals and dead servers", noFaults },
+        { "repeated and crossed results", noFaults },
+        { "table loses answers", noFaults },
+        { "table refuses", noFaults },
+        { "instances die", noFaults },
         { "all together", {} },
     } };
     all[1].rates.callLost = 0.05;
@@ -46,18 +46,18 @@
     return all;
 }
 
-FaultCounts runAll(FaultRates rates, bool extras)
+FaultCounts runSchedules(FaultRates rates, bool retriesAndHedges)
 {
-    rates.extras = extras;
+    rates.extras = retriesAndHedges;
     FaultCounts counts;
-    for (std::uint64_t seed = 0; seed < schedules; ++seed)
+    for (std::uint64_t seed = 0; seed < schedulesPerCase; ++seed)
         counts.add(FaultWorld(seed, rates).run(requestsPerSchedule));
     return counts;
 }
 
-double share(std::uint64_t a, std::uint64_t b)
+double percentage(std::uint64_t part, std::uint64_t total)
 {
-    return b == 0 ? 0 : 100.0 * static_cast<double>(a) / static_cast<double>(b);
+    return total == 0 ? 0 : 100.0 * static_cast<double>(part) / static_cast<double>(total);
 }
 
 } // namespace
@@ -67,17 +67,19 @@
     std::printf("| fault | schedules | requests | lost | doubled | crossed | wrong \"not run\" | answered, with hedges "
                 "and retries | without | extra attempts |\n");
     std::printf("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n");
-    bool clean = true;
-    for (const auto& it : faults()) {
-        const auto with = runAll(it.rates, true);
-        const auto without = runAll(it.rates, false);
-        clean = clean && with.clean() && without.clean();
+    bool passed = true;
+    for (const auto& it : faultCases()) {
+        const auto withRetries = runSchedules(it.rates, true);
+        const auto withoutRetries = runSchedules(it.rates, false);
+        passed = passed && withRetries.clean() && withoutRetries.clean();
         std::printf("| %s | %lu | %lu | %lu | %lu | %lu | %lu | %.2f%% | %.2f%% | %.2f%% |\n",
-            std::string(it.name).c_str(), 2 * schedules, with.requests + without.requests, with.lost + without.lost,
-            with.doubled + without.doubled, with.crossed + without.crossed, with.wrongNotRun + without.wrongNotRun,
-            share(with.answered, with.requests), share(without.answered, without.requests),
-            share(with.attempts - with.firstAttempts, with.firstAttempts));
+            std::string(it.name).c_str(), 2 * schedulesPerCase, withRetries.requests + withoutRetries.requests,
+            withRetries.lost + withoutRetries.lost, withRetries.doubled + withoutRetries.doubled,
+            withRetries.crossed + withoutRetries.crossed, withRetries.wrongNotRun + withoutRetries.wrongNotRun,
+            percentage(withRetries.answered, withRetries.requests),
+            percentage(withoutRetries.answered, withoutRetries.requests),
+            percentage(withRetries.attempts - withRetries.firstAttempts, withRetries.firstAttempts));
         std::fflush(stdout);
     }
-    return clean ? 0 : 1;
+    return passed ? 0 : 1;
 }
--- a/src/foxtailwheel/apps/foxtailwheel-slopes.cpp
+++ b/src/foxtailwheel/apps/foxtailwheel-slopes.cpp
@@ -28,38 +28,39 @@
     return static_cast<double>(info.uordblks) + static_cast<double>(info.hblkhd);
 }
 
-/// Seconds until `holds`, in steps of 100 ms of injected time.
-template <class Condition> double secondsUntil(bench::GossipGroup& group, Condition holds)
+/// Returns the simulated seconds until `condition` is true, checked every 100 ms; -1 after 60 s.
+template <class Condition> double secondsUntil(bench::GossipGroup& group, Condition condition)
 {
     for (int i = 0; i < 600; ++i) {
-        if (holds())
+        if (condition())
             return i / 10.0;
         group.run(100ms);
     }
     return -1;
 }
 
-void gossip(std::size_t n)
+void measureGossip(std::size_t n)
 {
-    const double before = heapBytes();
+    const double heapBefore = heapBytes();
     bench::GossipGroup group(n, 0.01, 1);
-    const double meeting = secondsUntil(group, [&] { return group.agreed(); });
+    const double convergenceSeconds = secondsUntil(group, [&] { return group.agreed(); });
     group.run(10s);
-    const double memory = (heapBytes() - before) / static_cast<double>(n);
+    const double heapGrowth = (heapBytes() - heapBefore) / static_cast<double>(n);
     const auto messages = group.messages();
-    const double cpu = cpuSeconds();
+    const double cpuStart = cpuSeconds();
     group.run(5s);
-    const double cpuShare = (cpuSeconds() - cpu) / 5 / static_cast<double>(n);
-    const double perSecond = static_cast<double>(group.messages() - messages) / 5 / static_cast<double>(n);
+    const double cpuShare = (cpuSeconds() - cpuStart) / 5 / static_cast<double>(n);
+    const double messagesPerSecond = static_cast<double>(group.messages() - messages) / 5 / static_cast<double>(n);
     group.countBytes(true);
     group.run(2s);
     const double bytes = static_cast<double>(group.bytes()) / 2 / static_cast<double>(n);
     group.countBytes(false);
     group.noticeLeaving(0, BackendServerId("server"));
-    const double notice = secondsUntil(group, [&] { return group.allKnowLeaving(BackendServerId("server")); });
+    const double propagationSeconds
+        = secondsUntil(group, [&] { return group.allKnowLeaving(BackendServerId("server")); });
     std::printf("gossip instances=%zu messages/s=%.2f sent_bytes/s=%.0f cpu_share=%.6f heap_bytes=%.0f all_met_s=%.1f "
                 "leaving_server_known_s=%.1f\n",
-        n, perSecond, bytes, cpuShare, memory, meeting, notice);
+        n, messagesPerSecond, bytes, cpuShare, heapGrowth, convergenceSeconds, propagationSeconds);
     std::fflush(stdout);
 }
 
@@ -78,48 +79,49 @@
     return text.str();
 }
 
-void configuration(std::size_t servers, std::size_t accounts)
+void measureConfiguration(std::size_t servers, std::size_t accounts)
 {
     const auto text = declarationsText(servers, accounts);
-    const double before = heapBytes();
-    double cpu = cpuSeconds();
+    const double heapBefore = heapBytes();
+    double cpuStart = cpuSeconds();
     auto parsed = config::parseDeclarations(text);
-    const double parsing = cpuSeconds() - cpu;
-    auto declared = std::make_shared<const config::Declarations>(std::move(parsed.declarations));
+    const double parseSeconds = cpuSeconds() - cpuStart;
+    auto declarations = std::make_shared<const config::Declarations>(std::move(parsed.declarations));
     routing::PoolOptions options;
     options.self = InstanceId("instance-0");
     options.zone = AvailabilityZoneId("a");
-    cpu = cpuSeconds();
-    const auto catalog = serving::makeCatalog(ConfigVersion(1), declared, nullptr, options);
-    const double making = cpuSeconds() - cpu;
-    cpu = cpuSeconds();
-    const auto again = serving::makeCatalog(ConfigVersion(2), declared, catalog.get(), options);
-    const double updating = cpuSeconds() - cpu;
+    cpuStart = cpuSeconds();
+    const auto catalog = serving::makeCatalog(ConfigVersion(1), declarations, nullptr, options);
+    const double buildSeconds = cpuSeconds() - cpuStart;
+    cpuStart = cpuSeconds();
+    const auto updatedCatalog = serving::makeCatalog(ConfigVersion(2), declarations, catalog.get(), options);
+    const double updateSeconds = cpuSeconds() - cpuStart;
     std::printf("config servers=%zu accounts=%zu text_bytes=%zu parse_s=%.4f make_s=%.4f update_s=%.4f heap_bytes=%.0f "
                 "faults=%zu\n",
-        servers, accounts, text.size(), parsing, making, updating, heapBytes() - before, parsed.faults.size());
+        servers, accounts, text.size(), parseSeconds, buildSeconds, updateSeconds, heapBytes() - heapBefore,
+        parsed.faults.size());
     std::fflush(stdout);
 }
 
-void rates(std::size_t accounts, std::size_t instances)
+void measureRateDivision(std::size_t accounts, std::size_t instances)
 {
     limits::RateLedger ledger;
     std::vector<InstanceId> ids;
     for (std::size_t i = 0; i < instances; ++i)
         ids.emplace_back("instance-" + std::to_string(i));
-    const double before = heapBytes();
+    const double heapBefore = heapBytes();
     for (std::size_t i = 0; i < accounts; ++i) {
         for (std::size_t j = 0; j < 8; ++j)
             ledger.demanded(
                 ClientAccountId("account-" + std::to_string(i)), ids[(i + j) % instances], 1, TimePoint(1h));
     }
-    const double memory = heapBytes() - before;
-    const double cpu = cpuSeconds();
-    std::size_t parts = 0;
+    const double heapGrowth = heapBytes() - heapBefore;
+    const double cpuStart = cpuSeconds();
+    std::size_t shares = 0;
     for (const auto& it : ledger.accounts())
-        parts += ledger.divide(it, 10, ids, TimePoint(1h)).size();
+        shares += ledger.divide(it, 10, ids, TimePoint(1h)).size();
     std::printf("rates owned_accounts=%zu instances=%zu divide_s=%.5f parts=%zu heap_bytes=%.0f\n", accounts, instances,
-        cpuSeconds() - cpu, parts, memory);
+        cpuSeconds() - cpuStart, shares, heapGrowth);
     std::fflush(stdout);
 }
 
@@ -128,12 +130,12 @@
 int main()
 {
     for (const std::size_t n : std::array { 9, 30, 100, 225 })
-        gossip(n);
+        measureGossip(n);
     for (const std::size_t servers : std::array { 20, 1000, 10000 })
-        configuration(servers, 5);
+        measureConfiguration(servers, 5);
     for (const std::size_t accounts : std::array { 5, 1000, 10000, 46000 })
-        configuration(20, accounts);
+        measureConfiguration(20, accounts);
     for (const std::size_t instances : std::array { 9, 225, 1800 })
-        rates(26, instances);
+        measureRateDivision(26, instances);
     return 0;
 }
--- a/src/foxtailwheel/apps/foxtailwheel-stress.cpp
+++ b/src/foxtailwheel/apps/foxtailwheel-stress.cpp
@@ -17,7 +17,7 @@
 constexpr std::size_t threadCount = 4;
 constexpr std::uint64_t runsPerThread = 4000;
 
-std::shared_ptr<const config::Declarations> declared()
+std::shared_ptr<const config::Declarations> makeDeclarations()
 {
     auto declarations = std::make_shared<config::Declarations>();
     declarations->zones = { { AvailabilityZoneId("a"), "r" } };
@@ -40,22 +40,22 @@
     return declarations;
 }
 
-/// Several threads drive one dispatcher; actions of one thread are carried out by whichever thread comes next.
-class Stress {
+/// Calls one dispatcher from several threads; a call that one thread submitted may be completed by any other.
+class StressTest {
 public:
-    Stress() { m_dispatcher->configure(ConfigVersion(1), m_declared); }
+    StressTest() { m_dispatcher->configure(ConfigVersion(1), m_declarations); }
 
     int run();
 
 private:
-    void work(std::uint64_t seed);
+    void runThread(std::uint64_t seed);
     void submit(Random& random);
-    void meddle(Random& random);
-    void answerOne(Random& random);
-    void put(serving::Actions actions);
+    void changeState(Random& random);
+    void completeCall(Random& random);
+    void handleActions(serving::Actions actions);
     TimePoint now() { return TimePoint(1h) + Duration(m_ticks++ * 1000); }
 
-    std::shared_ptr<const config::Declarations> m_declared = declared();
+    std::shared_ptr<const config::Declarations> m_declarations = makeDeclarations();
     std::unique_ptr<serving::Dispatcher> m_dispatcher = serving::makeDispatcher({});
     std::unique_ptr<telemetry::Metrics> m_metrics = telemetry::Metrics::create();
     std::mutex m_mutex;
@@ -66,7 +66,7 @@
     std::atomic<std::uint64_t> m_replied { 0 };
 };
 
-void Stress::put(serving::Actions actions)
+void StressTest::handleActions(serving::Actions actions)
 {
     for (auto& it : actions) {
         if (auto* call = std::get_if<serving::SendCall>(&it)) {
@@ -80,7 +80,7 @@
     }
 }
 
-void Stress::submit(Random& random)
+void StressTest::submit(Random& random)
 {
     serving::SubmitRequest request;
     request.pipeline = PipelineId("answer");
@@ -89,14 +89,14 @@
     serving::Actions actions;
     ++m_submitted;
     m_dispatcher->submit(m_dispatcher->newRun(), std::move(request), now(), actions);
-    put(std::move(actions));
+    handleActions(std::move(actions));
 }
 
-void Stress::meddle(Random& random)
+void StressTest::changeState(Random& random)
 {
     switch (random.below(6)) {
     case 0:
-        m_dispatcher->configure(ConfigVersion(++m_version), m_declared);
+        m_dispatcher->configure(ConfigVersion(++m_version), m_declarations);
         return;
     case 1:
         m_dispatcher->setLeaving({ BackendServerId("encode-" + std::to_string(random.below(8))) });
@@ -118,7 +118,7 @@
     }
 }
 
-void Stress::answerOne(Random& random)
+void StressTest::completeCall(Random& random)
 {
     std::optional<serving::SendCall> call;
     {
@@ -136,40 +136,40 @@
         m_dispatcher->onCallerLeft(call->call.id.run, now(), actions);
     else
         m_dispatcher->onAnswer(call->call.id, pipeline::payloadOf("{}"), now(), actions);
-    put(std::move(actions));
+    handleActions(std::move(actions));
 }
 
-void Stress::work(std::uint64_t seed)
+void StressTest::runThread(std::uint64_t seed)
 {
     Random random(seed);
     for (std::uint64_t i = 0; i < runsPerThread; ++i) {
         submit(random);
         for (int n = 0; n < 3; ++n)
-            answerOne(random);
+            completeCall(random);
         if (random.chance(0.05))
-            meddle(random);
+            changeState(random);
     }
 }
 
-int Stress::run()
+int StressTest::run()
 {
     std::vector<std::thread> threads;
     for (std::size_t i = 0; i < threadCount; ++i)
-        threads.emplace_back([this, i] { work(i + 1); });
+        threads.emplace_back([this, i] { runThread(i + 1); });
     for (auto& it : threads)
         it.join();
     Random random(99);
     while (!m_calls.empty())
-        answerOne(random);
-    const bool whole = m_replied == m_submitted;
-    std::printf(
-        "%lu runs submitted, %lu ended, %lu left\n", m_submitted.load(), m_replied.load(), m_dispatcher->status().runs);
-    return whole ? 0 : 1;
+        completeCall(random);
+    const bool allReplied = m_replied == m_submitted;
+    std::printf("%lu runs submitted, %lu completed, %lu still open\n", m_submitted.load(), m_replied.load(),
+        m_dispatcher->status().runs);
+    return allReplied ? 0 : 1;
 }
 
 } // namespace
 
 int main()
 {
-    return Stress().run();
+    return StressTest().run();
 }
--- a/src/foxtailwheel/apps/foxtailwheeld.cpp
+++ b/src/foxtailwheel/apps/foxtailwheeld.cpp
@@ -13,7 +13,7 @@
 constexpr int exitOk = 0;
 constexpr int exitFailed = 1;
 constexpr int exitUsage = 2;
-constexpr int exitCut = 3;
+constexpr int exitRequestsAborted = 3;
 
 int run(const std::string& path, bool checkOnly)
 {
@@ -37,7 +37,7 @@
         telemetry::logError("cannot_start", { { "detail", instance.error().message() } });
         return exitFailed;
     }
-    return instance.value()->waitUntilStopped() == 0 ? exitOk : exitCut;
+    return instance.value()->waitUntilStopped() == 0 ? exitOk : exitRequestsAborted;
 }
 
 } // namespace
@@ -45,10 +45,10 @@
 int main(int argc, char** argv)
 {
     cxxopts::Options options("foxtailwheeld",
-        "Entry instance of the foxtailwheel serving system.\n"
-        "Exit codes: 0 ended gracefully, 1 could not start, 2 bad settings, 3 requests were cut off.\n"
-        "SIGTERM shuts down gracefully; a second one cuts what is in progress.\n");
-    options.add_options()("s,settings", "settings of this instance (YAML)", cxxopts::value<std::string>())(
+        "Instance of the foxtailwheel serving system.\n"
+        "Exit codes: 0 graceful shutdown, 1 startup failed, 2 invalid settings, 3 requests were aborted.\n"
+        "SIGTERM starts a graceful shutdown; a second SIGTERM aborts the requests in progress.\n");
+    options.add_options()("s,settings", "settings file of this instance (YAML)", cxxopts::value<std::string>())(
         "check-settings", "check the settings and exit")("h,help", "print this help");
     try {
         const auto args = options.parse(argc, argv);
@@ -57,7 +57,7 @@
             return exitOk;
         }
         if (args.count("settings") == 0) {
-            std::cerr << "foxtailwheeld: --settings is needed\n";
+            std::cerr << "foxtailwheeld: missing option --settings\n";
             return exitUsage;
         }
         return run(args["settings"].as<std::string>(), args.count("check-settings") > 0);
