--- a/tools/cluster.sh
+++ b/tools/cluster.sh
@@ -1,16 +1,18 @@
-# Functions that start stand-ins and instances on loopback; sourced by tools/demo and the process tests.
-# Callers: 127.0.0.1:$((7200 + 10 * i)), operators +1, peers +2.
+# Functions that start stand-ins and instances on loopback. Sourced by tools/demo, tools/measure and
+# tools/test-processes.
+# Ports of instance i on 127.0.0.1: callers 7200 + 10 * i, operators +1, peers +2.
+# The sourcing script sets `bin` (folder of the programs) and `work` (folder of logs, settings and credentials).
 
 declare -A pids=()
 
-start() { # NAME COMMAND...
+start_process() { # NAME COMMAND...; logs to $work/NAME.log
   local name=$1
   shift
   "$@" >"$work/$name.log" 2>&1 &
   pids[$name]=$!
 }
 
-stop() { # NAME [SIGNAL]; waits and returns the exit code
+stop_process() { # NAME [SIGNAL]; waits for the process and returns its exit code
   local pid=${pids[$1]}
   unset "pids[$1]"
   kill "-${2:-TERM}" "$pid" 2>/dev/null || true
@@ -19,20 +21,20 @@
 
 stop_all() {
   local name
-  for name in "${!pids[@]}"; do stop "$name" KILL 2>/dev/null || true; done
+  for name in "${!pids[@]}"; do stop_process "$name" KILL 2>/dev/null || true; done
 }
 
-wait_for() { # URL
+wait_for_http() { # URL; polls for at least 15 s until the response is a success
   local i
   for i in $(seq 1 150); do
     curl -fs -o /dev/null "$1" && return 0
     sleep 0.1
   done
-  echo "no answer from $1" >&2
+  echo "timed out waiting for $1" >&2
   return 1
 }
 
-prepare() {
+write_credentials() { # creates $work with the operators' token, the peer key and a credential
   mkdir -p "$work"
   echo "operators-token-of-the-demo" >"$work/token"
   echo "peer-key-shared-by-all-instances" >"$work/peer-key"
@@ -42,11 +44,11 @@
 start_standins() { # DECLARATIONS [OPTIONS...]
   local declarations=$1
   shift
-  start table "$bin/foxtailwheel-standins" --table 127.0.0.1:7100
-  start list "$bin/foxtailwheel-standins" --list 127.0.0.1:7101 --list-lag 500ms
-  start backends "$bin/foxtailwheel-standins" --declarations "$declarations" "$@"
-  wait_for http://127.0.0.1:7101/v1/instances
-  wait_for "http://127.0.0.1:7100/v1/row?key=none"
+  start_process table "$bin/foxtailwheel-standins" --table 127.0.0.1:7100
+  start_process list "$bin/foxtailwheel-standins" --list 127.0.0.1:7101 --list-lag 500ms
+  start_process backends "$bin/foxtailwheel-standins" --declarations "$declarations" "$@"
+  wait_for_http http://127.0.0.1:7101/v1/instances
+  wait_for_http "http://127.0.0.1:7100/v1/row?key=none"
 }
 
 zones=(cork limerick waterford kilkenny)
@@ -71,10 +73,10 @@
 
 start_instance() { # INDEX
   write_settings "$1"
-  start "instance-$1" "$bin/foxtailwheeld" --settings "$work/instance-$1.yaml"
+  start_process "instance-$1" "$bin/foxtailwheeld" --settings "$work/instance-$1.yaml"
 }
 
-tool() { # INDEX WORDS...: the operators' tool against one instance
+run_cli() { # INDEX ARGUMENT...; runs the foxtailwheel tool against one instance
   local port=$((7200 + 10 * $1))
   shift
   "$bin/foxtailwheel" "$@" --operators "127.0.0.1:$((port + 1))" --token-file "$work/token" \
