--- a/include/foxtailwheel/cli/Commands.h
+++ b/include/foxtailwheel/cli/Commands.h
@@ -22,6 +22,6 @@
 /// @param args The command line without the program name.
 /// @param out Receives the result of the command.
 /// @param err Receives error messages.
-ExitCode runCommand(const std::vector<std::string>& arguments, std::ostream& out, std::ostream& err);
+ExitCode runCommand(const std::vector<std::string>& args, std::ostream& out, std::ostream& err);
 
 } // namespace foxtailwheel::cli
