--- a/src/foxtailwheel/control/ServerWatch.cpp
+++ b/src/foxtailwheel/control/ServerRegistry.cpp
@@ -1,10 +1,10 @@
-#include "foxtailwheel/control/ServerWatch.h"
+#include "foxtailwheel/control/ServerRegistry.h"
 
 #include <algorithm>
 
 namespace foxtailwheel::control {
 
-void ServerWatch::update(const std::map<BackendServerId, serving::AnnouncedServer>& entries,
+void ServerRegistry::update(const std::map<BackendServerId, serving::AnnouncedServer>& entries,
     TimePoint lastUnavailableAt, TimePoint recoveredAt, TimePoint now)
 {
     for (const auto& [id, server] : entries)
@@ -25,14 +25,14 @@
     expire(now);
 }
 
-bool ServerWatch::expire(TimePoint now)
+bool ServerRegistry::expire(TimePoint now)
 {
     return std::erase_if(m_entries, [now](const auto& it) {
         return it.second.expiresAt && *it.second.expiresAt <= now;
     }) > 0;
 }
 
-std::optional<TimePoint> ServerWatch::nextExpiry() const
+std::optional<TimePoint> ServerRegistry::nextExpiry() const
 {
     std::optional<TimePoint> next;
     for (const auto& it : m_entries) {
@@ -42,7 +42,7 @@
     return next;
 }
 
-std::vector<serving::AnnouncedServer> ServerWatch::servers() const
+std::vector<serving::AnnouncedServer> ServerRegistry::servers() const
 {
     std::vector<serving::AnnouncedServer> out;
     for (const auto& it : m_entries)
--- a/src/foxtailwheel/control/TableFollower.cpp
+++ b/src/foxtailwheel/control/TableFollower.cpp
@@ -26,7 +26,7 @@
 }
 
 struct TableFollower::Impl : std::enable_shared_from_this<TableFollower::Impl> {
-    Impl(store::Feed& f, const Clock& c, FollowerOptions o, RunAfter a, Changed ch, Publish t)
+    Impl(store::ChangeFeed& f, const Clock& c, TableFollowerOptions o, RunAfter a, OnChange ch, Publish t)
         : feed(f)
         , clock(c)
         , options(std::move(o))
@@ -41,19 +41,19 @@
     void pollAfter(Duration delay);
     void scheduleNext(bool hasChanges);
     void watchForSilence();
-    void onUpdate(const TableNews& news);
-    void onResponse(store::FeedAnswer answer, TimePoint sentAt, std::uint64_t after);
+    void onUpdate(const TableUpdate& news);
+    void onResponse(store::FeedResult answer, TimePoint sentAt, std::uint64_t after);
     bool applyRows(std::vector<store::FeedRow> rows);
     void onUnavailable();
 
-    store::Feed& feed;
+    store::ChangeFeed& feed;
     const Clock& clock;
-    FollowerOptions options;
+    TableFollowerOptions options;
     RunAfter after;
-    Changed changed;
+    OnChange changed;
     Publish publish;
     Random random;
-    FollowedTable table;
+    TableReplica table;
     StoreClockBound bound;
     std::uint64_t version = 0;
     bool synced = false; ///< The table was read completely and no change was missed since.
@@ -67,19 +67,19 @@
 {
     const auto now = clock.now();
     callPending = true;
-    auto done = [weak = weak_from_this(), now, from = version](store::FeedAnswer answer) {
+    auto done = [weak = weak_from_this(), now, from = version](store::FeedResult answer) {
         if (const auto self = weak.lock())
             self->onResponse(std::move(answer), now, from);
     };
     // A follower that does not poll only catches up, so its call does not wait for a change.
     // While the store is unavailable, short calls in quick succession detect its recovery early.
-    const bool unavailable = !table.available && table.lostAt != TimePoint {};
-    const auto wait = polling && !unavailable ? options.wait : Duration {};
+    const bool unavailable = !table.available && table.lastUnavailableAt != TimePoint {};
+    const auto wait = polling && !unavailable ? options.maxWait : Duration {};
     const auto timeout = unavailable && synced ? options.probeTimeout : options.responseTimeout;
     if (!synced)
         feed.readAll(options.table, now + timeout, std::move(done));
     else
-        feed.changes(options.table, version, wait, now + wait + timeout, std::move(done));
+        feed.waitForChanges(options.table, version, wait, now + wait + timeout, std::move(done));
 }
 
 void TableFollower::Impl::pollAfter(Duration delay)
@@ -107,21 +107,22 @@
 {
     if (std::exchange(watching, true))
         return;
-    after(std::max<Duration>(lastUpdateAt + options.silence - clock.now(), Duration {}), [weak = weak_from_this()] {
-        const auto self = weak.lock();
-        if (!self)
-            return;
-        self->watching = false;
-        if (self->callPending)
-            return;
-        if (self->polling || self->clock.now() - self->lastUpdateAt >= self->options.silence)
-            self->poll();
-        else
-            self->watchForSilence();
-    });
+    after(std::max<Duration>(lastUpdateAt + options.silenceTimeout - clock.now(), Duration {}),
+        [weak = weak_from_this()] {
+            const auto self = weak.lock();
+            if (!self)
+                return;
+            self->watching = false;
+            if (self->callPending)
+                return;
+            if (self->polling || self->clock.now() - self->lastUpdateAt >= self->options.silenceTimeout)
+                self->poll();
+            else
+                self->watchForSilence();
+        });
 }
 
-void TableFollower::Impl::onUpdate(const TableNews& news)
+void TableFollower::Impl::onUpdate(const TableUpdate& news)
 {
     if (!synced || news.answer.version <= version) {
         // The same version contains no new changes, but confirms that the table was current at the store's time.
@@ -166,28 +167,28 @@
 void TableFollower::Impl::onUnavailable()
 {
     const auto now = clock.now();
-    table.lostAt = now;
+    table.lastUnavailableAt = now;
     if (std::exchange(table.available, false))
         changed(table, false);
     // A follower that does not poll leaves probing to the polling instance, and calls only as often as without updates.
-    const auto retryDelay = polling || !synced ? options.retryDelay : options.silence / 2;
+    const auto retryDelay = polling || !synced ? options.retryDelay : options.silenceTimeout / 2;
     pollAfter(retryDelay + fromSeconds(toSeconds(retryDelay) * random.uniform()));
 }
 
-void TableFollower::Impl::onResponse(store::FeedAnswer answer, TimePoint sentAt, std::uint64_t from)
+void TableFollower::Impl::onResponse(store::FeedResult answer, TimePoint sentAt, std::uint64_t from)
 {
     callPending = false;
-    if (answer.end == store::FeedEnd::Unavailable) {
+    if (answer.outcome == store::FeedOutcome::Unavailable) {
         onUnavailable();
         return;
     }
-    if (answer.end == store::FeedEnd::HistoryLost) {
+    if (answer.outcome == store::FeedOutcome::HistoryLost) {
         synced = false;
         poll();
         return;
     }
     if (!std::exchange(table.available, true))
-        table.regainedAt = clock.now();
+        table.recoveredAt = clock.now();
     lastUpdateAt = clock.now();
     table.asOf = std::max(table.asOf, bound.observe(sentAt, answer.storeTime));
     if (publish && polling && synced)
@@ -199,8 +200,8 @@
     scheduleNext(wasSynced && rowsChanged);
 }
 
-TableFollower::TableFollower(
-    store::Feed& feed, const Clock& clock, FollowerOptions options, RunAfter after, Changed changed, Publish publish)
+TableFollower::TableFollower(store::ChangeFeed& feed, const Clock& clock, TableFollowerOptions options, RunAfter after,
+    OnChange changed, Publish publish)
     : m_impl(std::make_shared<Impl>(
         feed, clock, std::move(options), std::move(after), std::move(changed), std::move(publish)))
 {
@@ -213,7 +214,7 @@
     m_impl->poll();
 }
 
-void TableFollower::setAsking(bool polling)
+void TableFollower::setPolling(bool polling)
 {
     if (std::exchange(m_impl->polling, polling) == polling || !polling)
         return;
@@ -221,12 +222,12 @@
         m_impl->poll();
 }
 
-void TableFollower::onNews(const TableNews& news)
+void TableFollower::onUpdate(const TableUpdate& news)
 {
     m_impl->onUpdate(news);
 }
 
-const FollowedTable& TableFollower::table() const
+const TableReplica& TableFollower::table() const
 {
     return m_impl->table;
 }
--- a/src/foxtailwheel/control/TableFollowerTest.cpp
+++ b/src/foxtailwheel/control/TableFollowerTest.cpp
@@ -1,6 +1,6 @@
 #include "foxtailwheel/control/TableFollower.h"
 
-#include "foxtailwheel/control/ServerWatch.h"
+#include "foxtailwheel/control/ServerRegistry.h"
 
 #include <criterion/criterion.h>
 #include <deque>
@@ -9,30 +9,30 @@
 using namespace std::chrono_literals;
 using control::StoreClockBound;
 using control::TableFollower;
-using control::TableNews;
-using store::FeedAnswer;
-using store::FeedEnd;
+using control::TableUpdate;
+using store::FeedOutcome;
+using store::FeedResult;
 
 namespace {
 
-struct FakeFeed final : store::Feed {
+struct FakeFeed final : store::ChangeFeed {
     struct Call {
         bool whole = false;
         std::uint64_t after = 0;
         Duration wait {};
-        Done done;
+        Callback done;
     };
 
-    void readAll(const std::string& /*table*/, TimePoint /*deadline*/, Done done) override
+    void readAll(const std::string& /*table*/, TimePoint /*deadline*/, Callback done) override
     {
         calls.push_back({ true, 0, {}, std::move(done) });
     }
-    void changes(
-        const std::string& /*table*/, std::uint64_t after, Duration wait, TimePoint /*deadline*/, Done done) override
+    void waitForChanges(const std::string& /*table*/, std::uint64_t after, Duration wait, TimePoint /*deadline*/,
+        Callback done) override
     {
         calls.push_back({ false, after, wait, std::move(done) });
     }
-    void answer(FeedAnswer answer)
+    void answer(FeedResult answer)
     {
         auto next = std::move(calls.front());
         calls.pop_front();
@@ -45,22 +45,22 @@
 struct Fixture {
     Fixture()
     {
-        control::FollowerOptions options;
+        control::TableFollowerOptions options;
         options.table = "op";
-        options.wait = 1500ms;
-        options.silence = 2s;
+        options.maxWait = 1500ms;
+        options.silenceTimeout = 2s;
         clock.set(TimePoint(1h));
         follower = std::make_unique<TableFollower>(
             feed, clock, options,
             [this](Duration d, std::function<void()> work) { scheduled.emplace_back(d, std::move(work)); },
-            [this](const control::FollowedTable&, bool rows) { changes += rows ? 1 : 0; },
-            [this](const TableNews& it) { forwarded.push_back(it); });
+            [this](const control::TableReplica&, bool rows) { changes += rows ? 1 : 0; },
+            [this](const TableUpdate& it) { forwarded.push_back(it); });
         follower->start();
     }
 
-    static FeedAnswer rows(std::uint64_t version, std::vector<store::FeedRow> rows, Duration stamp = 10s)
+    static FeedResult rows(std::uint64_t version, std::vector<store::FeedRow> rows, Duration stamp = 10s)
     {
-        return { FeedEnd::Answered, std::move(rows), version, stamp };
+        return { FeedOutcome::Success, std::move(rows), version, stamp };
     }
 
     void runScheduled(Duration passed)
@@ -73,7 +73,7 @@
     ManualClock clock;
     FakeFeed feed;
     std::vector<std::pair<Duration, std::function<void()>>> scheduled;
-    std::vector<TableNews> forwarded;
+    std::vector<TableUpdate> forwarded;
     int changes = 0;
     std::unique_ptr<TableFollower> follower;
 };
@@ -108,7 +108,7 @@
 {
     Fixture fixture;
     fixture.feed.answer(Fixture::rows(5, { { "a", "1" }, { "b", "2" } }));
-    fixture.feed.answer({ FeedEnd::HistoryLost, {}, 0, {} });
+    fixture.feed.answer({ FeedOutcome::HistoryLost, {}, 0, {} });
     cr_assert(fixture.feed.calls.front().whole);
     fixture.feed.answer(Fixture::rows(9, { { "b", "3" } }));
     cr_assert_eq(fixture.follower->table().rows.size(), 1);
@@ -119,7 +119,7 @@
 {
     Fixture fixture;
     fixture.feed.answer(Fixture::rows(5, { { "a", "1" } }));
-    fixture.feed.answer({ FeedEnd::Unavailable, {}, 0, {} });
+    fixture.feed.answer({ FeedOutcome::Unavailable, {}, 0, {} });
     cr_assert(!fixture.follower->table().available);
     cr_assert_eq(fixture.follower->table().rows.size(), 1);
     cr_assert(fixture.feed.calls.empty());
@@ -135,12 +135,12 @@
 {
     Fixture fixture;
     fixture.feed.answer(Fixture::rows(5, { { "a", "1" } }, 10s));
-    fixture.follower->setAsking(false);
+    fixture.follower->setPolling(false);
     fixture.feed.answer(Fixture::rows(5, {}, 11s));
     cr_assert(fixture.feed.calls.empty());
     for (std::uint64_t i = 0; i < 5; ++i) {
         fixture.clock.advance(1500ms);
-        fixture.follower->onNews(
+        fixture.follower->onUpdate(
             { "op", 5 + i, Fixture::rows(6 + i, { { "a", std::to_string(i) } }, 12s + i * 1500ms) });
         fixture.runScheduled(0ms);
     }
@@ -153,7 +153,7 @@
 {
     Fixture fixture;
     fixture.feed.answer(Fixture::rows(5, {}));
-    fixture.follower->setAsking(false);
+    fixture.follower->setPolling(false);
     fixture.feed.answer(Fixture::rows(5, {}));
     fixture.runScheduled(2s);
     cr_assert_eq(fixture.feed.calls.size(), 1);
@@ -164,9 +164,9 @@
 {
     Fixture fixture;
     fixture.feed.answer(Fixture::rows(5, { { "a", "1" } }));
-    fixture.follower->setAsking(false);
+    fixture.follower->setPolling(false);
     fixture.feed.answer(Fixture::rows(5, {}));
-    fixture.follower->onNews({ "op", 8, Fixture::rows(9, { { "b", "2" } }) });
+    fixture.follower->onUpdate({ "op", 8, Fixture::rows(9, { { "b", "2" } }) });
     cr_assert_eq(fixture.follower->table().rows.count("b"), 0, "an update with a gap must not be applied");
     cr_assert_eq(fixture.feed.calls.front().after, 5);
 }
@@ -175,7 +175,7 @@
 {
     Fixture fixture;
     fixture.feed.answer(Fixture::rows(5, { { "a", "new" } }));
-    fixture.follower->onNews({ "op", 2, Fixture::rows(4, { { "a", "old" } }) });
+    fixture.follower->onUpdate({ "op", 2, Fixture::rows(4, { { "a", "old" } }) });
     cr_assert_eq(fixture.follower->table().rows.at("a"), "new");
 }
 
@@ -215,7 +215,7 @@
 
 Test(ServerRegistry, removesServerWithItsEntry)
 {
-    control::ServerWatch registry;
+    control::ServerRegistry registry;
     const TimePoint t(1h);
     registry.update(entries({ entry("s1"), entry("s2") }), {}, t, t);
     registry.update(entries({ entry("s2") }), {}, t, t + 10s);
@@ -224,7 +224,7 @@
 
 Test(ServerRegistry, retainsEntriesThatExpiredDuringAnOutage)
 {
-    control::ServerWatch registry;
+    control::ServerRegistry registry;
     const TimePoint t(1h);
     registry.update(entries({ entry("s1"), entry("s2"), entry("s3", true) }), {}, t, t);
     const auto recoveredAt = t + 20s;
--- a/src/foxtailwheel/daemon/CallDriver.cpp
+++ b/src/foxtailwheel/daemon/CallDriver.cpp
@@ -12,19 +12,19 @@
 
     constexpr std::string_view leavingHeader = "X-Leaving";
 
-    CallFailure toCallFailure(http::CallEnd end)
+    CallFailure toCallFailure(http::TransportOutcome end)
     {
         switch (end) {
-        case http::CallEnd::NotSent:
+        case http::TransportOutcome::NotSent:
             return CallFailure::NotSent;
-        case http::CallEnd::TimedOut:
-            return CallFailure::Silent;
-        case http::CallEnd::Complete:
-        case http::CallEnd::Broken:
-        case http::CallEnd::Cancelled:
+        case http::TransportOutcome::TimedOut:
+            return CallFailure::TimedOut;
+        case http::TransportOutcome::Complete:
+        case http::TransportOutcome::ConnectionLost:
+        case http::TransportOutcome::Cancelled:
             break;
         }
-        return CallFailure::Broken;
+        return CallFailure::ConnectionLost;
     }
 
 } // namespace
@@ -61,14 +61,14 @@
     auto request = active->protocol->encode(call, call.call.deadline - m_clock.now());
     if (!call.idempotencyKey.empty())
         request.headers.push_back({ "Idempotency-Key", call.idempotencyKey });
-    http::CallEvents events;
-    events.onFirstByte = [this, active] { m_dispatcher.onSent(active->id, m_clock.now()); };
+    http::CallCallbacks events;
+    events.onSendStart = [this, active] { m_dispatcher.onSent(active->id, m_clock.now()); };
     events.onHead = [this, active](const http::Response& head) { onHead(active, head); };
     if (active->decoder)
         events.onData = [this, active](std::string_view chunk) { onData(active, chunk); };
     events.onDone = [this, active](const http::CallResult& result) { onDone(active, result); };
     http::CallRequest httpRequest { { call.server.host, call.server.port }, std::move(request), call.call.sendBy,
-        call.call.giveUpAt, call.call.stage->idempotent };
+        call.call.responseDeadline, call.call.stage->idempotent };
     const std::lock_guard lock(m_mutex);
     m_activeCalls.emplace(active->id, active);
     active->httpCall = m_client.start(std::move(httpRequest), std::move(events));
@@ -132,11 +132,11 @@
     call->httpCall.reset();
     if (call->ended)
         return;
-    if (result.end != http::CallEnd::Complete) {
+    if (result.outcome != http::TransportOutcome::Complete) {
         telemetry::logDebug("call_failed",
             { { "run", std::to_string(call->id.run.value()) }, { "service", call->service.value() },
                 { "server", call->server.value() }, { "detail", result.detail } });
-        fail(call, toCallFailure(result.end));
+        fail(call, toCallFailure(result.outcome));
         return;
     }
     if (call->decoder && result.response.status == 200) {
--- a/src/foxtailwheel/daemon/CallerApi.cpp
+++ b/src/foxtailwheel/daemon/CallerApi.cpp
@@ -49,17 +49,17 @@
     else if (path == "/readyz")
         responder->respond({ m_ready ? 200U : 503U, {}, m_ready ? "ready\n" : "not ready\n" });
     else if (path == "/metrics")
-        responder->respond({ 200, { { "Content-Type", "text/plain; version=0.0.4" } }, m_metrics.text() });
+        responder->respond({ 200, { { "Content-Type", "text/plain; version=0.0.4" } }, m_metrics.serialize() });
     else
         handleRun(request, responder);
 }
 
 void CallerApi::handleRun(const http::Request& request, const std::shared_ptr<http::Responder>& responder)
 {
-    const auto catalog = m_dispatcher.catalog();
-    auto parsed = parseCallerRequest(request, catalog.get());
+    const auto snapshot = m_dispatcher.snapshot();
+    auto parsed = parseCallerRequest(request, snapshot.get());
     if (const auto* error = std::get_if<RequestError>(&parsed)) {
-        m_metrics.count("foxtailwheel_faulty_requests_total", { { "code", error->code } });
+        m_metrics.increment("foxtailwheel_faulty_requests_total", { { "code", error->code } });
         responder->respond(requestErrorResponse(*error));
         return;
     }
@@ -68,7 +68,7 @@
 
 void CallerApi::startRun(serving::SubmitRequest request, const std::shared_ptr<http::Responder>& responder)
 {
-    const auto id = m_dispatcher.newRun();
+    const auto id = m_dispatcher.allocateRunId();
     {
         const std::lock_guard lock(m_mutex);
         auto session = std::make_shared<Session>();
@@ -77,7 +77,7 @@
         session->startedAt = m_clock.now();
         m_sessions.emplace(id, std::move(session));
     }
-    responder->onGone([this, id] { onCallerDisconnected(id); });
+    responder->onDisconnect([this, id] { onCallerDisconnected(id); });
     serving::Actions actions;
     m_dispatcher.submit(id, std::move(request), m_clock.now(), actions);
     m_execute(std::move(actions));
@@ -86,14 +86,14 @@
 void CallerApi::onCallerDisconnected(RunId run)
 {
     serving::Actions actions;
-    m_dispatcher.onCallerLeft(run, m_clock.now(), actions);
+    m_dispatcher.onCallerDisconnected(run, m_clock.now(), actions);
     m_execute(std::move(actions));
 }
 
 bool CallerApi::writeTokens(Session& session, const pipeline::EmitTokens& tokens)
 {
     if (!std::exchange(session.streamStarted, true)) {
-        m_metrics.time("foxtailwheel_first_token_seconds", { { "pipeline", session.pipeline.value() } },
+        m_metrics.observeDuration("foxtailwheel_first_token_seconds", { { "pipeline", session.pipeline.value() } },
             m_clock.now() - session.startedAt);
         session.responder->beginStream(
             { 200, { { "Content-Type", "text/event-stream" }, { "Cache-Control", "no-store" } }, {} });
@@ -132,18 +132,18 @@
 {
     const std::string outcome(toString(reply.outcome.kind));
     const std::string reason(toString(reply.outcome.reason));
-    m_metrics.count("foxtailwheel_requests_total",
+    m_metrics.increment("foxtailwheel_requests_total",
         { { "pipeline", session.pipeline.value() }, { "outcome", outcome }, { "reason", reason } });
-    m_metrics.time("foxtailwheel_request_seconds", { { "pipeline", session.pipeline.value() } },
+    m_metrics.observeDuration("foxtailwheel_request_seconds", { { "pipeline", session.pipeline.value() } },
         m_clock.now() - session.startedAt);
     for (const auto& it : reply.costs) {
         const telemetry::Labels labels { { "service", it.service.value() } };
-        m_metrics.count("foxtailwheel_stage_attempts_total", labels, it.attempts);
-        m_metrics.count("foxtailwheel_stage_cost_microcredits_total", labels,
+        m_metrics.increment("foxtailwheel_stage_attempts_total", labels, it.attempts);
+        m_metrics.increment("foxtailwheel_stage_cost_microcredits_total", labels,
             static_cast<double>((it.calls + it.links).microCredits));
-        m_metrics.count(
+        m_metrics.increment(
             "foxtailwheel_stage_wasted_microcredits_total", labels, static_cast<double>(it.wasted.microCredits));
-        m_metrics.count("foxtailwheel_stage_cross_zone_total", labels, it.crossZone);
+        m_metrics.increment("foxtailwheel_stage_cross_zone_total", labels, it.crossZone);
     }
     telemetry::logDebug("run_ended",
         { { "run", std::to_string(reply.run.value()) }, { "pipeline", session.pipeline.value() },
--- a/src/foxtailwheel/daemon/CallerRequest.cpp
+++ b/src/foxtailwheel/daemon/CallerRequest.cpp
@@ -30,14 +30,14 @@
         return true;
     }
 
-    const config::ClientAccount* authenticate(const http::Request& request, const serving::Catalog& catalog)
+    const config::ClientAccount* authenticate(const http::Request& request, const serving::ConfigSnapshot& snapshot)
     {
         constexpr std::string_view scheme = "Bearer ";
         const auto value = http::findHeader(request.headers, "Authorization");
         if (!value.starts_with(scheme))
             return nullptr;
-        const auto it = catalog.credentials.find(sha256Hex(value.substr(scheme.size())));
-        return it == catalog.credentials.end() ? nullptr : it->second;
+        const auto it = snapshot.credentials.find(sha256Hex(value.substr(scheme.size())));
+        return it == snapshot.credentials.end() ? nullptr : it->second;
     }
 
     bool isValidIdempotencyKey(std::string_view key)
@@ -55,7 +55,7 @@
             const auto timeLimit = config::parseDuration(deadline);
             if (!timeLimit.has_value() || timeLimit.value() <= Duration {})
                 return RequestError { 400, "bad_deadline", "X-Deadline must be a duration such as 1500ms" };
-            out.timeLimit = timeLimit.value();
+            out.timeout = timeLimit.value();
         }
         const auto key = http::findHeader(request.headers, "Idempotency-Key");
         if (!key.empty() && !isValidIdempotencyKey(key))
@@ -63,7 +63,7 @@
                 "Idempotency-Key must be 1 to 255 visible ASCII characters" };
         if (!key.empty())
             out.key = IdempotencyKey(std::string(key));
-        if (plan.hasEffect() && !out.key)
+        if (plan.hasSideEffects() && !out.key)
             return RequestError { 400, "key_missing",
                 "this pipeline has side effects: an Idempotency-Key is required" };
         return std::nullopt;
@@ -72,21 +72,21 @@
 } // namespace
 
 std::variant<serving::SubmitRequest, RequestError> parseCallerRequest(
-    const http::Request& request, const serving::Catalog* catalog)
+    const http::Request& request, const serving::ConfigSnapshot* snapshot)
 {
     serving::SubmitRequest out;
     if (!parsePipelinePath(request, out.pipeline))
         return RequestError { 404, "unknown_path", "use POST /v1/pipelines/NAME/runs" };
     if (request.method != "POST")
         return RequestError { 405, "method_not_allowed", "use POST" };
-    if (catalog == nullptr)
+    if (snapshot == nullptr)
         return RequestError { 503, "not_ready", "no configuration is active yet" };
-    const auto* account = authenticate(request, *catalog);
+    const auto* account = authenticate(request, *snapshot);
     if (account == nullptr)
         return RequestError { 401, "unauthorized", "send the account's credential as `Authorization: Bearer`" };
     out.account = account->id;
-    const auto plan = catalog->plans.find(out.pipeline);
-    if (plan == catalog->plans.end())
+    const auto plan = snapshot->plans.find(out.pipeline);
+    if (plan == snapshot->plans.end())
         return RequestError { 404, "unknown_pipeline", "no pipeline '" + out.pipeline.value() + "' is declared" };
     const auto body = json::parse(request.body, nullptr, false);
     if (!body.is_object())
@@ -94,7 +94,7 @@
     if (body.contains("max_tokens") && !body["max_tokens"].is_number_unsigned())
         return RequestError { 400, "bad_max_tokens", "max_tokens must be a non-negative integer" };
     out.stream = http::findHeader(request.headers, "Accept").find("text/event-stream") != std::string_view::npos;
-    out.body = pipeline::payloadOf(request.body);
+    out.body = pipeline::makePayload(request.body);
     if (body.contains("prompt"))
         out.prefix = hashOf(body["prompt"].dump().substr(0, promptPrefixBytes));
     if (const auto error = parseHeaders(request, *plan->second, out))
@@ -145,7 +145,7 @@
         auto parsed = json::parse(*reply.outcome.answer, nullptr, false);
         body["result"] = parsed.is_discarded() ? json(*reply.outcome.answer) : std::move(parsed);
     }
-    body["waited_ms"] = toMilliseconds(reply.waited);
+    body["waited_ms"] = toMilliseconds(reply.queueTime);
     body["cost"] = json::array();
     for (const auto& it : reply.costs) {
         body["cost"].push_back({ { "service", it.service.value() }, { "attempts", it.attempts },
--- a/src/foxtailwheel/daemon/CallerRequest.h
+++ b/src/foxtailwheel/daemon/CallerRequest.h
@@ -16,9 +16,9 @@
 };
 
 /// @brief Parses, authenticates and validates a caller's request.
-/// @param catalog Null before the first configuration is active.
+/// @param snapshot Null before the first configuration is active.
 std::variant<serving::SubmitRequest, RequestError> parseCallerRequest(
-    const http::Request& request, const serving::Catalog* catalog);
+    const http::Request& request, const serving::ConfigSnapshot* snapshot);
 
 /// @brief Returns the response to a rejected request.
 http::Response requestErrorResponse(const RequestError& error);
--- a/src/foxtailwheel/daemon/CallerRequestTest.cpp
+++ b/src/foxtailwheel/daemon/CallerRequestTest.cpp
@@ -1,7 +1,7 @@
 #include "CallerRequest.h"
 
 #include "foxtailwheel/base/Hash.h"
-#include "foxtailwheel/testing/Declared.h"
+#include "foxtailwheel/testing/TestDeclarations.h"
 
 #include <criterion/criterion.h>
 
@@ -11,11 +11,11 @@
 
 namespace {
 
-std::shared_ptr<const serving::Catalog> catalog()
+std::shared_ptr<const serving::ConfigSnapshot> snapshot()
 {
     auto declared = std::make_shared<config::Declarations>(*testing::smallDeployment(1));
     declared->accounts.front().credentialSha256 = sha256Hex("secret");
-    return serving::makeCatalog(ConfigVersion(1), declared, nullptr, {});
+    return serving::makeConfigSnapshot(ConfigVersion(1), declared, nullptr, {});
 }
 
 http::Request requestTo(const std::string& pipeline, const std::string& body = "{}")
@@ -25,7 +25,7 @@
 
 std::string errorCodeOf(const http::Request& request)
 {
-    const auto parsed = daemon::parseCallerRequest(request, catalog().get());
+    const auto parsed = daemon::parseCallerRequest(request, snapshot().get());
     const auto* error = std::get_if<RequestError>(&parsed);
     return error == nullptr ? std::string("none") : error->code;
 }
@@ -42,9 +42,9 @@
 {
     const auto request = withHeader(
         withHeader(requestTo("answer", "{\"prompt\": \"x\"}"), "X-Deadline", "250ms"), "Accept", "text/event-stream");
-    const auto parsed = daemon::parseCallerRequest(request, catalog().get());
+    const auto parsed = daemon::parseCallerRequest(request, snapshot().get());
     const auto& out = std::get<serving::SubmitRequest>(parsed);
-    cr_assert(out.timeLimit == 250ms && out.stream && out.prefix);
+    cr_assert(out.timeout == 250ms && out.stream && out.prefix);
     cr_assert(out.account == ClientAccountId("coop"));
 }
 
--- a/src/foxtailwheel/daemon/Cluster.cpp
+++ b/src/foxtailwheel/daemon/Cluster.cpp
@@ -19,7 +19,7 @@
     {
         membership::Member self;
         self.id = settings.instance;
-        self.peers = settings.peers;
+        self.endpoint = settings.peers;
         self.zone = settings.zone;
         self.incarnation = Incarnation(wallClockSequence(clock));
         return self;
@@ -40,7 +40,7 @@
 {
     m_configs = &configs;
     BOOST_OUTCOME_TRY(m_transport,
-        peer::Network::listen(
+        peer::Transport::listen(
             pool, m_settings.peers, m_settings.peerKey, [this](const peer::Message& message) { onMessage(message); }));
     return ok();
 }
@@ -49,7 +49,7 @@
 {
     const auto version = m_configs->version();
     withMembership([this, version](membership::Membership& it, membership::MembershipActions& actions) {
-        it.setConfig(version, m_clock.now(), actions);
+        it.setConfigVersion(version, m_clock.now(), actions);
         it.tick(m_clock.now(), actions);
     });
 }
@@ -75,10 +75,10 @@
     {
         const std::lock_guard lock(m_mutex);
         leaving = m_membership.leavingServers();
-        activeMembers = m_membership.working();
+        activeMembers = m_membership.activeMembers();
     }
-    m_dispatcher.setLeaving(leaving);
-    m_dispatcher.setInstances(activeMembers.size());
+    m_dispatcher.setLeavingServers(leaving);
+    m_dispatcher.setInstanceCount(activeMembers.size());
     std::erase_if(activeMembers, [this](const membership::Member& it) { return it.zone != m_settings.zone; });
     const auto pollers = membership::owners("poller/" + m_settings.zone.value(), activeMembers, pollersPerZone);
     m_configs->setPoller(std::find(pollers.begin(), pollers.end(), m_settings.instance) != pollers.end());
@@ -90,12 +90,12 @@
         withMembership([this, ping](membership::Membership& it, membership::MembershipActions& actions) {
             it.onPing(*ping, m_clock.now(), actions);
         });
-        m_configs->onPeerVersion(ping->digest.sender.id, ping->digest.sender.config);
+        m_configs->onPeerVersion(ping->digest.sender.id, ping->digest.sender.configVersion);
     } else if (const auto* ack = std::get_if<membership::Ack>(&message)) {
         withMembership([this, ack](membership::Membership& it, membership::MembershipActions& actions) {
             it.onAck(*ack, m_clock.now(), actions);
         });
-        m_configs->onPeerVersion(ack->digest.sender.id, ack->digest.sender.config);
+        m_configs->onPeerVersion(ack->digest.sender.id, ack->digest.sender.configVersion);
     } else if (const auto* request = std::get_if<peer::ConfigRequest>(&message)) {
         onConfigRequest(*request);
     } else if (const auto* reply = std::get_if<peer::ConfigReply>(&message)) {
@@ -107,23 +107,23 @@
     }
 }
 
-void Cluster::onInstanceList(const store::ListResult& list)
+void Cluster::onInstanceList(const store::InstanceListResult& list)
 {
     const std::set<BackendServerId> leaving(list.leavingServers.begin(), list.leavingServers.end());
     withMembership([&](membership::Membership& it, membership::MembershipActions& actions) {
         for (const auto& listed : list.instances) {
             if (listed.region == m_settings.region && !listed.leaving)
-                it.introduce(
-                    { listed.id, listed.peers, listed.zone, {}, membership::MemberState::Alive, {} }, m_clock.now());
+                it.addIfUnknown(
+                    { listed.id, listed.endpoint, listed.zone, {}, membership::MemberState::Alive, {} }, m_clock.now());
         }
         for (const auto& server : leaving) {
             if (!m_listedLeavingServers.contains(server))
-                it.notice({ server, true, wallClockSequence(m_clock) }, m_clock.now(), actions);
+                it.publishServerNotice({ server, true, wallClockSequence(m_clock) }, m_clock.now(), actions);
         }
         // Only an instance that saw the server as leaving in the list may announce that it has recovered.
         for (const auto& server : m_listedLeavingServers) {
             if (!leaving.contains(server))
-                it.notice({ server, false, wallClockSequence(m_clock) }, m_clock.now(), actions);
+                it.publishServerNotice({ server, false, wallClockSequence(m_clock) }, m_clock.now(), actions);
         }
         m_listedLeavingServers = leaving;
     });
@@ -133,7 +133,7 @@
 {
     withMembership([&](membership::Membership& it, membership::MembershipActions& actions) {
         if (!it.leavingServers().contains(server))
-            it.notice({ server, true, wallClockSequence(m_clock) }, m_clock.now(), actions);
+            it.publishServerNotice({ server, true, wallClockSequence(m_clock) }, m_clock.now(), actions);
     });
 }
 
@@ -154,7 +154,7 @@
 {
     for (const auto& it : members()) {
         if (it.id == id)
-            return it.peers;
+            return it.endpoint;
     }
     return {};
 }
@@ -176,7 +176,7 @@
 
 void Cluster::onConfigRequest(const peer::ConfigRequest& request)
 {
-    m_transport->send(request.sender.peers, m_configs->makeReply(request.version, request.have));
+    m_transport->send(request.sender.endpoint, m_configs->makeReply(request.version, request.currentVersion));
 }
 
 void Cluster::onConfigReply(const peer::ConfigReply& reply)
@@ -216,13 +216,13 @@
 {
     const std::lock_guard lock(m_mutex);
     for (const auto& it : demand.rates)
-        m_rateAllocator.demanded(it.account, demand.sender.id, it.perSecond, m_clock.now());
+        m_rateAllocator.setDemand(it.account, demand.sender.id, it.perSecond, m_clock.now());
 }
 
 void Cluster::allocateRates(const std::vector<membership::Member>& activeMembers)
 {
-    const auto catalog = m_dispatcher.catalog();
-    if (!catalog)
+    const auto snapshot = m_dispatcher.snapshot();
+    if (!snapshot)
         return;
     std::vector<InstanceId> ids;
     for (const auto& it : activeMembers)
@@ -230,14 +230,14 @@
     std::map<InstanceId, peer::Allowance> allowances;
     {
         const std::lock_guard lock(m_mutex);
-        m_rateAllocator.sweep(m_clock.now());
+        m_rateAllocator.evictExpired(m_clock.now());
         for (const auto& account : m_rateAllocator.accounts()) {
-            const auto declared = catalog->accounts.find(account);
-            if (declared == catalog->accounts.end())
+            const auto declared = snapshot->accounts.find(account);
+            if (declared == snapshot->accounts.end())
                 continue;
             for (const auto& share :
-                m_rateAllocator.divide(account, declared->second->ratePerSecond, ids, m_clock.now())) {
-                if (share.asked)
+                m_rateAllocator.allocate(account, declared->second->ratePerSecond, ids, m_clock.now())) {
+                if (share.hasDemand)
                     allowances[share.instance].rates.push_back({ account, share.perSecond });
             }
         }
@@ -253,7 +253,7 @@
 void Cluster::onAllowance(const peer::Allowance& allowance)
 {
     for (const auto& it : allowance.rates)
-        m_dispatcher.setAllowance(it.account, it.perSecond, m_clock.now());
+        m_dispatcher.setRateShare(it.account, it.perSecond, m_clock.now());
 }
 
 std::vector<membership::Member> Cluster::members() const
@@ -265,7 +265,7 @@
 std::vector<membership::Member> Cluster::activeMembers() const
 {
     const std::lock_guard lock(m_mutex);
-    return m_membership.working();
+    return m_membership.activeMembers();
 }
 
 } // namespace foxtailwheel::daemon
--- a/src/foxtailwheel/daemon/Cluster.h
+++ b/src/foxtailwheel/daemon/Cluster.h
@@ -4,9 +4,9 @@
 #include "foxtailwheel/base/Clock.h"
 #include "foxtailwheel/config/Settings.h"
 #include "foxtailwheel/http/IoPool.h"
-#include "foxtailwheel/limits/RateLedger.h"
+#include "foxtailwheel/limits/RateAllocator.h"
 #include "foxtailwheel/membership/Membership.h"
-#include "foxtailwheel/peer/Network.h"
+#include "foxtailwheel/peer/Transport.h"
 #include "foxtailwheel/serving/Dispatcher.h"
 #include "foxtailwheel/store/InstanceList.h"
 
@@ -32,7 +32,7 @@
     /// instance owns; called once a second.
     void exchangeRates();
     /// @brief Applies the platform's instance list.
-    void onInstanceList(const store::ListResult& list);
+    void onInstanceList(const store::InstanceListResult& list);
     /// @brief Handles a backend server's announcement that it is leaving.
     void onServerLeaving(const BackendServerId& server);
     /// @brief Announces to the other instances that this one is leaving.
@@ -43,7 +43,10 @@
         std::function<void(peer::ConfigReply)> done);
     std::vector<membership::Member> members() const;
     std::vector<membership::Member> activeMembers() const;
-    peer::NetworkCounts transportCounts() const { return m_transport ? m_transport->counts() : peer::NetworkCounts(); }
+    peer::TransportCounts transportCounts() const
+    {
+        return m_transport ? m_transport->counts() : peer::TransportCounts();
+    }
 
 private:
     void execute(const membership::MembershipActions& actions);
@@ -71,10 +74,10 @@
     const Clock& m_clock;
     serving::Dispatcher& m_dispatcher;
     ConfigService* m_configs = nullptr;
-    std::unique_ptr<peer::Network> m_transport;
+    std::unique_ptr<peer::Transport> m_transport;
     mutable std::mutex m_mutex;
     membership::Membership m_membership;
-    limits::RateLedger m_rateAllocator;
+    limits::RateAllocator m_rateAllocator;
     std::set<BackendServerId> m_listedLeavingServers;
     std::map<ConfigVersion, std::function<void(peer::ConfigReply)>> m_pendingFetches;
 };
--- a/src/foxtailwheel/daemon/ConfigService.cpp
+++ b/src/foxtailwheel/daemon/ConfigService.cpp
@@ -27,7 +27,7 @@
 
 void ConfigService::tick()
 {
-    control::FollowActions actions;
+    control::ConfigFollowerActions actions;
     {
         const std::lock_guard lock(m_mutex);
         m_follower.tick(m_clock.now(), actions);
@@ -43,10 +43,10 @@
 
 void ConfigService::onPeerVersion(const InstanceId& peer, ConfigVersion version)
 {
-    control::FollowActions actions;
+    control::ConfigFollowerActions actions;
     {
         const std::lock_guard lock(m_mutex);
-        m_follower.onAnnounced(peer, version, m_clock.now(), actions);
+        m_follower.onPeerVersion(peer, version, m_clock.now(), actions);
     }
     execute(actions);
 }
@@ -69,19 +69,19 @@
     return m_follower.caughtUp();
 }
 
-void ConfigService::apply(control::WantedChange change, std::function<void(control::ApplyResult)> done)
+void ConfigService::apply(control::ConfigChangeRequest change, std::function<void(control::ApplyResult)> done)
 {
     const auto text = change.text;
     control::applyChange(m_table, m_clock, std::move(change), m_clock.now() + applyTimeout,
         [this, text, done = std::move(done)](const control::ApplyResult& result) {
             // Activated at once, so that peers can fetch it from here even if the table becomes unavailable now.
-            if (result.end == control::ApplyEnd::Accepted)
+            if (result.status == control::ApplyStatus::Accepted)
                 onText(result.version, text);
             done(result);
         });
 }
 
-void ConfigService::execute(const control::FollowActions& actions)
+void ConfigService::execute(const control::ConfigFollowerActions& actions)
 {
     for (const auto& it : actions) {
         if (std::holds_alternative<control::ReadHead>(it))
@@ -97,10 +97,10 @@
 {
     m_table.read(control::configHeadKey(), m_clock.now() + tableTimeout, [this](const store::ReadResult& result) {
         const auto head = result.rows.empty() ? std::nullopt : control::decodeConfigHead(result.rows.front().value);
-        control::FollowActions actions;
+        control::ConfigFollowerActions actions;
         {
             const std::lock_guard lock(m_mutex);
-            m_follower.onHead(result.answered, head, m_clock.now(), actions);
+            m_follower.onHead(result.succeeded, head, m_clock.now(), actions);
         }
         execute(actions);
     });
@@ -186,7 +186,7 @@
 
 void ConfigService::onText(ConfigVersion version, const std::optional<std::string>& text)
 {
-    control::FollowActions actions;
+    control::ConfigFollowerActions actions;
     {
         const std::lock_guard lock(m_mutex);
         m_follower.onText(version, text, m_clock.now(), actions);
--- a/src/foxtailwheel/daemon/ConfigService.h
+++ b/src/foxtailwheel/daemon/ConfigService.h
@@ -50,10 +50,10 @@
     /// `requested` is not active here.
     peer::ConfigReply makeReply(ConfigVersion requested, ConfigVersion current) const;
     /// @brief Commits a validated change to the table, and activates it here if it was accepted.
-    void apply(control::WantedChange change, std::function<void(control::ApplyResult)> done);
+    void apply(control::ConfigChangeRequest change, std::function<void(control::ApplyResult)> done);
 
 private:
-    void execute(const control::FollowActions& actions);
+    void execute(const control::ConfigFollowerActions& actions);
     void readHead();
     void fetch(const control::FetchText& fetch);
     void fetchText(ConfigVersion version);
--- a/src/foxtailwheel/daemon/ForwardService.cpp
+++ b/src/foxtailwheel/daemon/ForwardService.cpp
@@ -10,9 +10,9 @@
 namespace {
 
     using namespace std::chrono_literals;
-    using backend::HeadVerdict;
+    using backend::ResponseClass;
     using serving::CallId;
-    using serving::ForwardCallEnd;
+    using serving::ForwardCallOutcome;
     using serving::ForwardId;
 
     /// Above the round-trip time between zones, below the initial TCP retransmission timeout of 1 s.
@@ -29,8 +29,8 @@
 
     struct ActiveCall {
         std::shared_ptr<http::Call> httpCall;
-        serving::SendForward request;
-        std::optional<HeadVerdict> responseClass;
+        serving::SendUpstreamRequest request;
+        std::optional<ResponseClass> responseClass;
         bool streaming = false;
     };
 
@@ -49,15 +49,15 @@
     }
 
     void executeAll(serving::ForwardActions actions);
-    void execute(serving::SendForward& send);
-    void execute(serving::StopForward& stop);
+    void execute(serving::SendUpstreamRequest& send);
+    void execute(serving::CancelUpstreamRequest& stop);
     void execute(serving::SendBatch& batch);
-    void execute(serving::TellInstance& message);
+    void execute(serving::SendToInstance& message);
     void execute(serving::ReleaseResults& release);
-    void execute(serving::ReplyWhole& reply);
-    void execute(serving::ReplyHead& reply);
-    void execute(serving::ReplyBytes& reply);
-    void execute(serving::ReplyEnd& reply);
+    void execute(serving::SendResponse& reply);
+    void execute(serving::SendResponseHead& reply);
+    void execute(serving::SendResponseData& reply);
+    void execute(serving::EndResponse& reply);
     void onHead(CallId id, const http::Response& head);
     void onData(CallId id, std::string_view bytes);
     void onDone(CallId id, http::CallResult result);
@@ -65,7 +65,7 @@
     void flushReleases();
     void scheduleTimer();
     void onTimer();
-    void endSession(ForwardId id, serving::ForwardEnd end);
+    void endSession(ForwardId id, serving::ForwardOutcome end);
 
     http::IoPool& pool;
     http::Client& client;
@@ -89,11 +89,11 @@
 
 void ForwardService::Impl::scheduleTimer()
 {
-    const auto next = forwarder->nextTime();
+    const auto next = forwarder->nextTimerAt();
     if (next >= timerAt)
         return;
     timerAt = next;
-    pool.after(std::max<Duration>(next - clock.now(), Duration {}), [weak = weak_from_this(), next] {
+    pool.postAfter(std::max<Duration>(next - clock.now(), Duration {}), [weak = weak_from_this(), next] {
         const auto self = weak.lock();
         if (self && self->timerAt == next)
             self->onTimer();
@@ -104,11 +104,11 @@
 {
     timerAt = TimePoint::max();
     serving::ForwardActions actions;
-    forwarder->onTime(clock.now(), actions);
+    forwarder->onTimer(clock.now(), actions);
     executeAll(std::move(actions));
 }
 
-void ForwardService::Impl::execute(serving::SendForward& send)
+void ForwardService::Impl::execute(serving::SendUpstreamRequest& send)
 {
     const auto id = send.call;
     const auto now = clock.now();
@@ -116,7 +116,7 @@
         send.deadline, send.idempotent };
     // A reused connection may be dead without notice, which would fail the request.
     request.newConnection = true;
-    http::CallEvents events;
+    http::CallCallbacks events;
     events.onHead = [this, id](const http::Response& head) { onHead(id, head); };
     if (send.streams)
         events.onData = [this, id](std::string_view bytes) { onData(id, bytes); };
@@ -126,7 +126,7 @@
     call.httpCall = client.start(std::move(request), std::move(events));
 }
 
-void ForwardService::Impl::execute(serving::StopForward& stop)
+void ForwardService::Impl::execute(serving::CancelUpstreamRequest& stop)
 {
     const auto it = calls.find(stop.call);
     if (it == calls.end())
@@ -141,19 +141,19 @@
     if (it == calls.end())
         return;
     auto& call = it->second;
-    call.responseClass = protocol.judge(call.request, head);
+    call.responseClass = protocol.classifyResponse(call.request, head);
     const auto now = clock.now();
-    if (const auto load = protocol.load(head))
-        forwarder->onLoad(id, *load, now);
-    if (call.responseClass == HeadVerdict::Unusable) {
+    if (const auto load = protocol.parseLoad(head))
+        forwarder->onLoadReport(id, *load, now);
+    if (call.responseClass == ResponseClass::Invalid) {
         call.httpCall->cancel();
         return;
     }
-    if (!call.request.streams || head.status != 200 || call.responseClass != HeadVerdict::Pass)
+    if (!call.request.streams || head.status != 200 || call.responseClass != ResponseClass::Valid)
         return;
     call.streaming = true;
     serving::ForwardActions actions;
-    forwarder->onHead(id, protocol.passedOn(head), now, actions);
+    forwarder->onResponseHead(id, protocol.toCallerResponse(head), now, actions);
     executeAll(std::move(actions));
 }
 
@@ -163,7 +163,7 @@
     if (it == calls.end() || !it->second.streaming)
         return;
     serving::ForwardActions actions;
-    forwarder->onData(id, bytes, clock.now(), actions);
+    forwarder->onResponseData(id, bytes, clock.now(), actions);
     executeAll(std::move(actions));
 }
 
@@ -174,21 +174,21 @@
         return;
     const auto responseClass = it->second.responseClass;
     calls.erase(it);
-    auto outcome = ForwardCallEnd::Broken;
-    if (responseClass == HeadVerdict::NotRun)
-        outcome = ForwardCallEnd::Refused;
-    else if (responseClass == HeadVerdict::Misdirected)
-        outcome = ForwardCallEnd::Misdirected;
-    else if (responseClass == HeadVerdict::InputGone)
-        outcome = ForwardCallEnd::InputGone;
-    else if (result.end == http::CallEnd::NotSent)
-        outcome = ForwardCallEnd::NotSent;
-    else if (result.end == http::CallEnd::TimedOut)
-        outcome = ForwardCallEnd::TimedOut;
-    else if (result.end == http::CallEnd::Complete && responseClass == HeadVerdict::Pass)
-        outcome = ForwardCallEnd::Complete;
+    auto outcome = ForwardCallOutcome::Broken;
+    if (responseClass == ResponseClass::NotStarted)
+        outcome = ForwardCallOutcome::Refused;
+    else if (responseClass == ResponseClass::Misdirected)
+        outcome = ForwardCallOutcome::Misdirected;
+    else if (responseClass == ResponseClass::InputMissing)
+        outcome = ForwardCallOutcome::InputMissing;
+    else if (result.outcome == http::TransportOutcome::NotSent)
+        outcome = ForwardCallOutcome::NotSent;
+    else if (result.outcome == http::TransportOutcome::TimedOut)
+        outcome = ForwardCallOutcome::TimedOut;
+    else if (result.outcome == http::TransportOutcome::Complete && responseClass == ResponseClass::Valid)
+        outcome = ForwardCallOutcome::Complete;
     serving::ForwardActions actions;
-    forwarder->onEnd(id, outcome, protocol.passedOn(std::move(result.response)), clock.now(), actions);
+    forwarder->onCallEnd(id, outcome, protocol.toCallerResponse(std::move(result.response)), clock.now(), actions);
     executeAll(std::move(actions));
 }
 
@@ -197,12 +197,12 @@
     telemetry::logInfo("batch_sent",
         { { "call", std::to_string(batch.call.value()) }, { "service", batch.service.value() },
             { "server", batch.server.id.value() }, { "pieces", std::to_string(batch.pieces.size()) },
-            { "waited_ms", std::to_string(static_cast<long>(toMilliseconds(batch.waited))) },
-            { "still_waiting", std::to_string(batch.left) } });
+            { "waited_ms", std::to_string(static_cast<long>(toMilliseconds(batch.maxQueueTime))) },
+            { "still_waiting", std::to_string(batch.remainingPieces) } });
     http::CallRequest request { { batch.server.host, batch.server.port }, protocol.encodeBatch(batch),
         clock.now() + connectTimeout, batch.deadline, false };
     request.newConnection = true;
-    http::CallEvents events;
+    http::CallCallbacks events;
     events.onDone = [self = shared_from_this(), batch, sentAt = clock.now()](
                         const http::CallResult& result) { self->onBatchDone(batch, sentAt, result); };
     client.start(std::move(request), std::move(events));
@@ -211,22 +211,22 @@
 void ForwardService::Impl::onBatchDone(
     const serving::SendBatch& batch, TimePoint sentAt, const http::CallResult& result)
 {
-    backend::BatchAnswer decoded;
-    if (result.end == http::CallEnd::NotSent)
-        decoded.end = serving::BatchEnd::Unreachable;
-    else if (result.end == http::CallEnd::Complete)
+    backend::BatchResponse decoded;
+    if (result.outcome == http::TransportOutcome::NotSent)
+        decoded.outcome = serving::BatchOutcome::Unreachable;
+    else if (result.outcome == http::TransportOutcome::Complete)
         decoded = protocol.decodeBatch(batch, result.response);
     telemetry::logInfo("batch_ended",
         { { "call", std::to_string(batch.call.value()) }, { "service", batch.service.value() },
             { "server", batch.server.id.value() }, { "pieces", std::to_string(batch.pieces.size()) },
             { "after_ms", std::to_string(static_cast<long>(toMilliseconds(clock.now() - sentAt))) },
-            { "end", std::string(toString(decoded.end)) }, { "detail", result.detail } });
+            { "end", std::string(toString(decoded.outcome)) }, { "detail", result.detail } });
     serving::ForwardActions actions;
-    forwarder->onBatchEnd(batch.call, decoded.end, decoded.results, clock.now(), actions);
+    forwarder->onBatchEnd(batch.call, decoded.outcome, decoded.results, clock.now(), actions);
     executeAll(std::move(actions));
 }
 
-void ForwardService::Impl::execute(serving::TellInstance& message)
+void ForwardService::Impl::execute(serving::SendToInstance& message)
 {
     if (sendToInstance)
         sendToInstance(message.to, message.message);
@@ -235,11 +235,11 @@
 void ForwardService::Impl::execute(serving::ReleaseResults& release)
 {
     if (pendingReleases.empty())
-        pool.after(releaseDelay, [weak = weak_from_this()] {
+        pool.postAfter(releaseDelay, [weak = weak_from_this()] {
             if (const auto self = weak.lock())
                 self->flushReleases();
         });
-    auto& handles = pendingReleases[{ release.maker.host, release.maker.port }];
+    auto& handles = pendingReleases[{ release.producer.host, release.producer.port }];
     handles.insert(handles.end(), release.handles.begin(), release.handles.end());
 }
 
@@ -249,10 +249,10 @@
         const auto& server = it.first;
         const auto& handles = it.second;
         const auto now = clock.now();
-        http::CallEvents events;
+        http::CallCallbacks events;
         // If a release is lost, the result only occupies capacity until it expires.
         events.onDone = [server](const http::CallResult& result) {
-            if (result.end != http::CallEnd::Complete || result.response.status != 200)
+            if (result.outcome != http::TransportOutcome::Complete || result.response.status != 200)
                 telemetry::logDebug("release_failed", { { "server", server.toString() }, { "detail", result.detail } });
         };
         client.start(
@@ -260,18 +260,18 @@
     }
 }
 
-void ForwardService::Impl::endSession(ForwardId id, serving::ForwardEnd end)
+void ForwardService::Impl::endSession(ForwardId id, serving::ForwardOutcome end)
 {
     const auto it = sessions.find(id);
     if (it == sessions.end())
         return;
-    metrics.count("foxtailwheel_forwarded_total", { { "end", std::string(toString(end)) } });
-    metrics.time(
+    metrics.increment("foxtailwheel_forwarded_total", { { "end", std::string(toString(end)) } });
+    metrics.observeDuration(
         "foxtailwheel_forward_seconds", { { "end", std::string(toString(end)) } }, clock.now() - it->second.startedAt);
     sessions.erase(it);
 }
 
-void ForwardService::Impl::execute(serving::ReplyWhole& reply)
+void ForwardService::Impl::execute(serving::SendResponse& reply)
 {
     const auto it = sessions.find(reply.request);
     if (it == sessions.end())
@@ -279,37 +279,37 @@
     if (reply.retryAfter > Duration {})
         protocol.addRetryAfter(reply.response, reply.retryAfter);
     it->second.responder->respond(std::move(reply.response));
-    endSession(reply.request, reply.end);
+    endSession(reply.request, reply.outcome);
 }
 
-void ForwardService::Impl::execute(serving::ReplyHead& reply)
+void ForwardService::Impl::execute(serving::SendResponseHead& reply)
 {
     if (const auto it = sessions.find(reply.request); it != sessions.end())
         it->second.responder->beginStream(std::move(reply.head));
 }
 
-void ForwardService::Impl::execute(serving::ReplyBytes& reply)
+void ForwardService::Impl::execute(serving::SendResponseData& reply)
 {
     if (const auto it = sessions.find(reply.request); it != sessions.end())
         it->second.responder->write(std::move(reply.bytes));
 }
 
-void ForwardService::Impl::execute(serving::ReplyEnd& reply)
+void ForwardService::Impl::execute(serving::EndResponse& reply)
 {
     const auto it = sessions.find(reply.request);
     if (it == sessions.end())
         return;
-    if (reply.end == serving::ForwardEnd::Answered)
+    if (reply.outcome == serving::ForwardOutcome::Answered)
         it->second.responder->endStream();
     else
         it->second.responder->abort();
-    endSession(reply.request, reply.end);
+    endSession(reply.request, reply.outcome);
 }
 
 namespace {
 
     /// Writes a decision of the forwarder to the process log.
-    void logDecision(const serving::Note& decision)
+    void logDecision(const serving::DecisionRecord& decision)
     {
         std::vector<telemetry::Field> fields;
         if (!decision.request.empty())
@@ -324,7 +324,7 @@
 ForwardService::ForwardService(http::IoPool& pool, http::Client& client, const Clock& clock,
     const backend::ForwardProtocol& protocol, telemetry::Metrics& metrics, serving::ForwarderOptions options)
 {
-    options.note = logDecision;
+    options.decisionLog = logDecision;
     m_impl = std::make_shared<Impl>(pool, client, clock, protocol, metrics, std::move(options));
 }
 
@@ -332,20 +332,20 @@
 
 void ForwardService::handle(http::Request request, const std::shared_ptr<http::Responder>& responder)
 {
-    auto parsed = m_impl->protocol.readRequest(std::move(request));
+    auto parsed = m_impl->protocol.parseRequest(std::move(request));
     if (!parsed) {
         responder->respond({ 400, { { "Content-Type", "text/plain" } }, parsed.error().message() + "\n" });
         return;
     }
-    const auto id = m_impl->forwarder->newRequest();
+    const auto id = m_impl->forwarder->allocateRequestId();
     m_impl->sessions.emplace(id, Session { responder, m_impl->clock.now() });
-    responder->onGone([weak = std::weak_ptr(m_impl), id] {
+    responder->onDisconnect([weak = std::weak_ptr(m_impl), id] {
         const auto self = weak.lock();
         if (!self || self->sessions.find(id) == self->sessions.end())
             return;
-        self->endSession(id, serving::ForwardEnd::CallerLeft);
+        self->endSession(id, serving::ForwardOutcome::CallerDisconnected);
         serving::ForwardActions actions;
-        self->forwarder->onCallerLeft(id, self->clock.now(), actions);
+        self->forwarder->onCallerDisconnected(id, self->clock.now(), actions);
         self->executeAll(std::move(actions));
     });
     serving::ForwardActions actions;
@@ -380,21 +380,21 @@
     m_impl->executeAll(std::move(actions));
 }
 
-void ForwardService::onPeer(const InstanceId& from, const serving::PieceMessage& message)
+void ForwardService::onPeerMessage(const InstanceId& from, const serving::PieceMessage& message)
 {
     serving::ForwardActions actions;
-    m_impl->forwarder->onPeer(from, message, m_impl->clock.now(), actions);
+    m_impl->forwarder->onPeerMessage(from, message, m_impl->clock.now(), actions);
     m_impl->executeAll(std::move(actions));
 }
 
-void ForwardService::onPeerLost(const InstanceId& instance)
+void ForwardService::onPeerConnectionLost(const InstanceId& instance)
 {
     serving::ForwardActions actions;
-    m_impl->forwarder->onPeerLost(instance, m_impl->clock.now(), actions);
+    m_impl->forwarder->onPeerConnectionLost(instance, m_impl->clock.now(), actions);
     m_impl->executeAll(std::move(actions));
 }
 
-void ForwardService::setTell(std::function<void(const InstanceId&, const serving::PieceMessage&)> send)
+void ForwardService::setSendToInstance(std::function<void(const InstanceId&, const serving::PieceMessage&)> send)
 {
     m_impl->sendToInstance = std::move(send);
 }
--- a/src/foxtailwheel/daemon/Instance.cpp
+++ b/src/foxtailwheel/daemon/Instance.cpp
@@ -9,7 +9,7 @@
 #include "OrderService.h"
 #include "foxtailwheel/base/Random.h"
 #include "foxtailwheel/control/ClaimCleaner.h"
-#include "foxtailwheel/control/ClaimKeeper.h"
+#include "foxtailwheel/control/ClaimStore.h"
 #include "foxtailwheel/daemon/Lifecycle.h"
 #include "foxtailwheel/store/Clients.h"
 #include "foxtailwheel/telemetry/Log.h"
@@ -63,7 +63,7 @@
         std::uint16_t operatorPort() const override { return m_operatorServer->port(); }
 
     private:
-        control::Defer makeRunAfter();
+        control::RunAfter makeRunAfter();
         ActionExecutor actionExecutor();
         FetchFromPeer peerFetcher();
         OperatorHooks operatorHooks();
@@ -75,7 +75,7 @@
         void cleanClaims(const std::vector<membership::Member>& activeMembers);
         void refreshInstanceList();
         void announce(bool leaving);
-        void onInstanceList(const store::ListResult& list);
+        void onInstanceList(const store::InstanceListResult& list);
         void drain();
         void checkDrained();
         bool process(LifecycleEvent event);
@@ -92,7 +92,7 @@
         std::unique_ptr<store::Table> m_table;
         std::unique_ptr<store::InstanceList> m_instanceList;
         std::unique_ptr<serving::Dispatcher> m_dispatcher;
-        std::unique_ptr<control::ClaimKeeper> m_claimStore;
+        std::unique_ptr<control::ClaimStore> m_claimStore;
         Cluster m_cluster;
         CallDriver m_callDriver;
         CallerApi m_callerApi;
@@ -117,8 +117,7 @@
         , m_table(store::tableClient(*m_client, *m_clock, m_settings.table, m_seed))
         , m_instanceList(store::instanceListClient(*m_client, m_settings.instanceList))
         , m_dispatcher(serving::makeDispatcher(dispatcherOptions(m_settings, m_seed)))
-        , m_claimStore(
-              control::ClaimKeeper::create(*m_table, *m_clock, m_settings.instance, m_seed + 1, makeRunAfter()))
+        , m_claimStore(control::ClaimStore::create(*m_table, *m_clock, m_settings.instance, m_seed + 1, makeRunAfter()))
         , m_cluster(m_settings, *m_clock, *m_dispatcher, m_seed + 3)
         , m_callDriver(*m_client, *m_clock, *m_dispatcher, actionExecutor(),
               [this](const BackendServerId& server) { m_cluster.onServerLeaving(server); })
@@ -130,9 +129,9 @@
     {
     }
 
-    control::Defer InstanceImpl::makeRunAfter()
+    control::RunAfter InstanceImpl::makeRunAfter()
     {
-        return [this](Duration delay, std::function<void()> work) { m_pool->after(delay, std::move(work)); };
+        return [this](Duration delay, std::function<void()> work) { m_pool->postAfter(delay, std::move(work)); };
     }
 
     ActionExecutor InstanceImpl::actionExecutor()
@@ -197,20 +196,20 @@
         } else if (const auto* stop = std::get_if<serving::StopCall>(&action)) {
             m_callDriver.cancel(*stop);
         } else if (const auto* timer = std::get_if<pipeline::SetTimer>(&action)) {
-            m_pool->after(timer->at - m_clock->now(), [this, id = timer->id] {
+            m_pool->postAfter(timer->at - m_clock->now(), [this, id = timer->id] {
                 serving::Actions followUp;
                 m_dispatcher->onTimer(id, m_clock->now(), followUp);
                 execute(std::move(followUp));
             });
-        } else if (const auto* claim = std::get_if<serving::ClaimCall>(&action)) {
+        } else if (const auto* claim = std::get_if<serving::AcquireClaim>(&action)) {
             m_claimStore->claim(
                 *claim, [this, run = claim->run, stage = claim->stage](const pipeline::ClaimResult& result) {
                     serving::Actions followUp;
                     m_dispatcher->onClaim(run, stage, result, m_clock->now(), followUp);
                     execute(std::move(followUp));
                 });
-        } else if (const auto* end = std::get_if<serving::EndClaim>(&action)) {
-            m_claimStore->end(*end);
+        } else if (const auto* end = std::get_if<serving::CompleteClaim>(&action)) {
+            m_claimStore->recordOutcome(*end);
         } else if (const auto* tokens = std::get_if<pipeline::EmitTokens>(&action)) {
             m_callerApi.emit(*tokens);
         } else if (const auto* reply = std::get_if<serving::Reply>(&action)) {
@@ -227,17 +226,17 @@
             telemetry::logInfo("serving");
         }
         const auto counts = m_dispatcher->status();
-        m_metrics->gauge("foxtailwheel_runs", {}, static_cast<double>(counts.runs));
-        m_metrics->gauge("foxtailwheel_queued_runs", {}, static_cast<double>(counts.queued));
-        m_metrics->gauge("foxtailwheel_stray_results", {}, static_cast<double>(counts.strayResults));
-        m_metrics->gauge("foxtailwheel_config_version", {}, static_cast<double>(m_configService.version().value()));
-        m_pool->after(tickPeriod, [this] { tick(); });
+        m_metrics->setGauge("foxtailwheel_runs", {}, static_cast<double>(counts.runs));
+        m_metrics->setGauge("foxtailwheel_queued_runs", {}, static_cast<double>(counts.queued));
+        m_metrics->setGauge("foxtailwheel_stray_results", {}, static_cast<double>(counts.unmatchedResults));
+        m_metrics->setGauge("foxtailwheel_config_version", {}, static_cast<double>(m_configService.version().value()));
+        m_pool->postAfter(tickPeriod, [this] { tick(); });
     }
 
     void InstanceImpl::pollLoads()
     {
         m_loadPoller.poll();
-        m_pool->after(loadPollPeriod, [this] { pollLoads(); });
+        m_pool->postAfter(loadPollPeriod, [this] { pollLoads(); });
     }
 
     void InstanceImpl::runClusterTasks()
@@ -250,14 +249,14 @@
         });
         cleanClaims(activeMembers);
         const auto counts = m_cluster.transportCounts();
-        m_metrics->gauge("foxtailwheel_peer_sent_bytes", {}, static_cast<double>(counts.sentBytes));
-        m_metrics->gauge("foxtailwheel_peer_dropped_frames", {}, static_cast<double>(counts.droppedFrames));
+        m_metrics->setGauge("foxtailwheel_peer_sent_bytes", {}, static_cast<double>(counts.sentBytes));
+        m_metrics->setGauge("foxtailwheel_peer_dropped_frames", {}, static_cast<double>(counts.droppedFrames));
         constexpr std::array<const char*, 5> refusalReasons { "wrong_key", "wrong_protocol", "oversized", "garbled",
             "cut" };
         for (std::size_t i = 0; i < refusalReasons.size(); ++i)
-            m_metrics->gauge("foxtailwheel_peer_refused_frames", { { "reason", refusalReasons.at(i) } },
+            m_metrics->setGauge("foxtailwheel_peer_refused_frames", { { "reason", refusalReasons.at(i) } },
                 static_cast<double>(counts.refused.at(i)));
-        m_pool->after(clusterTaskPeriod, [this] { runClusterTasks(); });
+        m_pool->postAfter(clusterTaskPeriod, [this] { runClusterTasks(); });
     }
 
     void InstanceImpl::cleanClaims(const std::vector<membership::Member>& activeMembers)
@@ -268,7 +267,7 @@
         std::optional<control::ClaimCleaner::Page> page;
         {
             const std::lock_guard lock(m_mutex);
-            page = m_claimCleaner.duePage(m_clock->now());
+            page = m_claimCleaner.nextPage(m_clock->now());
         }
         if (!page)
             return;
@@ -279,7 +278,8 @@
                 {
                     const std::lock_guard lock(m_mutex);
                     deletion = m_claimCleaner.onPage(result, m_clock->now(), m_clock->wallNow());
-                    m_metrics->gauge("foxtailwheel_claims_deleted", {}, static_cast<double>(m_claimCleaner.deleted()));
+                    m_metrics->setGauge(
+                        "foxtailwheel_claims_deleted", {}, static_cast<double>(m_claimCleaner.deleted()));
                 }
                 if (deletion)
                     m_table->transact(
@@ -296,14 +296,14 @@
     void InstanceImpl::refreshInstanceList()
     {
         announce(state() != LifecycleState::Starting && state() != LifecycleState::Serving);
-        m_instanceList->fetch(
-            m_clock->now() + instanceListTimeout, [this](const store::ListResult& list) { onInstanceList(list); });
-        m_pool->after(instanceListPeriod, [this] { refreshInstanceList(); });
+        m_instanceList->fetch(m_clock->now() + instanceListTimeout,
+            [this](const store::InstanceListResult& list) { onInstanceList(list); });
+        m_pool->postAfter(instanceListPeriod, [this] { refreshInstanceList(); });
     }
 
-    void InstanceImpl::onInstanceList(const store::ListResult& list)
+    void InstanceImpl::onInstanceList(const store::InstanceListResult& list)
     {
-        if (list.answered)
+        if (list.succeeded)
             m_cluster.onInstanceList(list);
     }
 
@@ -311,7 +311,7 @@
     {
         std::vector<MemberStatus> rows;
         for (const auto& it : m_cluster.members())
-            rows.push_back({ it.id, it.zone, std::string(membership::toString(it.state)), it.config });
+            rows.push_back({ it.id, it.zone, std::string(membership::toString(it.state)), it.configVersion });
         return rows;
     }
 
@@ -340,8 +340,8 @@
         m_cluster.leave();
         telemetry::logInfo(
             "leaving", { { "balancer_delay_ms", std::to_string(toMilliseconds(m_settings.balancerDelay)) } });
-        m_drainDeadline = m_clock->now() + m_settings.balancerDelay + m_settings.drainLimit;
-        m_pool->after(m_settings.balancerDelay, [this] { drain(); });
+        m_drainDeadline = m_clock->now() + m_settings.balancerDelay + m_settings.drainTimeout;
+        m_pool->postAfter(m_settings.balancerDelay, [this] { drain(); });
     }
 
     void InstanceImpl::drain()
@@ -355,7 +355,7 @@
 
     void InstanceImpl::checkDrained()
     {
-        const bool idle = m_callerApi.inProgress() == 0 && m_callerServer->inProgress() == 0
+        const bool idle = m_callerApi.inProgress() == 0 && m_callerServer->requestsInProgress() == 0
             && m_dispatcher->status().runs == 0 && m_claimStore->pendingRecords() == 0;
         if (idle && process(LifecycleEvent::DrainCompleted)) {
             finishShutdown(0);
@@ -366,7 +366,7 @@
             return;
         }
         if (state() != LifecycleState::Stopped)
-            m_pool->after(drainCheckPeriod, [this] { checkDrained(); });
+            m_pool->postAfter(drainCheckPeriod, [this] { checkDrained(); });
     }
 
     void InstanceImpl::finishShutdown(std::size_t abortedRequests)
--- a/src/foxtailwheel/daemon/LoadPoller.cpp
+++ b/src/foxtailwheel/daemon/LoadPoller.cpp
@@ -25,15 +25,15 @@
 {
 }
 
-std::vector<LoadPoller::Target> LoadPoller::selectStalest(const serving::Catalog& catalog, bool enginesOnly,
+std::vector<LoadPoller::Target> LoadPoller::selectStalest(const serving::ConfigSnapshot& snapshot, bool enginesOnly,
     std::map<BackendServerId, TimePoint>& polledAt, std::size_t maxCount)
 {
     std::vector<Target> targets;
     const auto now = m_clock.now();
-    for (const auto& service : catalog.declarations->services) {
+    for (const auto& service : snapshot.declarations->services) {
         if (enginesOnly && service.kind != config::ServiceKind::ModelEngine)
             continue;
-        for (const auto& it : catalog.pools.at(service.id)->status()) {
+        for (const auto& it : snapshot.pools.at(service.id)->status()) {
             const auto updatedAt = std::max(polledAt[it.server.id], enginesOnly ? TimePoint() : it.reportedAt);
             if (it.inSubset && now - updatedAt >= maxReportAge)
                 targets.push_back({ service.id, it.server, updatedAt });
@@ -49,12 +49,12 @@
 
 void LoadPoller::poll()
 {
-    const auto catalog = m_dispatcher.catalog();
-    if (!catalog)
+    const auto snapshot = m_dispatcher.snapshot();
+    if (!snapshot)
         return;
-    for (const auto& it : selectStalest(*catalog, false, m_loadPolledAt, maxLoadPolls))
+    for (const auto& it : selectStalest(*snapshot, false, m_loadPolledAt, maxLoadPolls))
         pollLoad(it.service, it.server);
-    for (const auto& it : selectStalest(*catalog, true, m_eventsPolledAt, maxCacheEventPolls))
+    for (const auto& it : selectStalest(*snapshot, true, m_eventsPolledAt, maxCacheEventPolls))
         pollCacheEvents(it.service, it.server);
 }
 
@@ -62,11 +62,11 @@
 {
     const auto until = m_clock.now() + pollTimeout;
     http::CallRequest call { { server.host, server.port }, { "GET", "/v1/load", {}, {} }, until, until, true };
-    http::CallEvents events;
+    http::CallCallbacks events;
     events.onDone = [this, service, id = server.id](const http::CallResult& result) {
         routing::LoadReport report;
         report.measuredAt = m_clock.now();
-        if (result.end == http::CallEnd::Complete && parseLoadHeader(result.response.headers, report))
+        if (result.outcome == http::TransportOutcome::Complete && parseLoadHeader(result.response.headers, report))
             m_dispatcher.onLoadReport(service, id, report);
     };
     m_client.start(std::move(call), std::move(events));
@@ -82,13 +82,14 @@
     const auto until = m_clock.now() + pollTimeout;
     http::CallRequest call { { server.host, server.port },
         { "GET", "/v1/cache-events?after=" + std::to_string(after), {}, {} }, until, until, true };
-    http::CallEvents events;
+    http::CallCallbacks events;
     events.onDone = [this, service, id = server.id](const http::CallResult& result) {
-        if (result.end != http::CallEnd::Complete || result.response.status != 200)
+        if (result.outcome != http::TransportOutcome::Complete || result.response.status != 200)
             return;
         const auto body = nlohmann::json::parse(result.response.body, nullptr, false);
         for (const auto& it : arrayAt(body, "events")) {
-            const routing::CacheEvent event { countAt(it, "sequence"), countAt(it, "prefix"), flagAt(it, "evicted") };
+            const routing::CacheEvent event { unsignedAt(it, "sequence"), unsignedAt(it, "prefix"),
+                flagAt(it, "evicted") };
             m_dispatcher.onCacheEvent(service, id, event);
             const std::lock_guard lock(m_mutex);
             m_lastEventSequence[id] = std::max(m_lastEventSequence[id], event.sequence);
--- a/src/foxtailwheel/daemon/LoadPoller.h
+++ b/src/foxtailwheel/daemon/LoadPoller.h
@@ -29,7 +29,7 @@
         TimePoint updatedAt; ///< Time of the last report or poll.
     };
 
-    std::vector<Target> selectStalest(const serving::Catalog& catalog, bool enginesOnly,
+    std::vector<Target> selectStalest(const serving::ConfigSnapshot& snapshot, bool enginesOnly,
         std::map<BackendServerId, TimePoint>& polledAt, std::size_t maxCount);
     void pollLoad(const ServiceId& service, const config::BackendServer& server);
     void pollCacheEvents(const ServiceId& service, const config::BackendServer& server);
--- a/src/foxtailwheel/daemon/OperatorApi.cpp
+++ b/src/foxtailwheel/daemon/OperatorApi.cpp
@@ -114,16 +114,16 @@
     responder->respond(jsonResponse(200,
         { { "instance", m_settings.instance.value() }, { "zone", m_settings.zone.value() },
             { "state", m_hooks.state() }, { "config_version", m_configs.version().value() }, { "runs", counts.runs },
-            { "queued", counts.queued }, { "stray_results", counts.strayResults }, { "members", members } }));
+            { "queued", counts.queued }, { "stray_results", counts.unmatchedResults }, { "members", members } }));
 }
 
 void OperatorApi::backends(const http::Request& /*request*/, const ResponderPtr& responder)
 {
     json rows = json::array();
-    const auto catalog = m_dispatcher.catalog();
-    if (catalog) {
-        for (const auto& service : catalog->declarations->services) {
-            for (const auto& it : catalog->pools.at(service.id)->status()) {
+    const auto snapshot = m_dispatcher.snapshot();
+    if (snapshot) {
+        for (const auto& service : snapshot->declarations->services) {
+            for (const auto& it : snapshot->pools.at(service.id)->status()) {
                 rows.push_back({ { "service", service.id.value() }, { "server", it.server.id.value() },
                     { "zone", it.server.zone.value() },
                     { "address", it.server.host + ":" + std::to_string(it.server.port) }, { "load", it.load },
@@ -138,8 +138,8 @@
 void OperatorApi::accounts(const http::Request& /*request*/, const ResponderPtr& responder)
 {
     json rows = json::array();
-    if (const auto catalog = m_dispatcher.catalog()) {
-        for (const auto& it : catalog->declarations->accounts)
+    if (const auto snapshot = m_dispatcher.snapshot()) {
+        for (const auto& it : snapshot->declarations->accounts)
             rows.push_back(
                 { { "account", it.id.value() }, { "weight", it.weight }, { "rate_per_second", it.ratePerSecond } });
     }
@@ -156,13 +156,13 @@
 void OperatorApi::applyConfig(const http::Request& request, const ResponderPtr& responder)
 {
     const auto body = json::parse(request.body, nullptr, false);
-    control::WantedChange change;
+    control::ConfigChangeRequest change;
     change.text = textAt(body, "text");
     change.id = control::ChangeId(textAt(body, "change"));
     change.author = textAt(body, "author");
     change.note = textAt(body, "note");
     const auto current = m_configs.activeConfig();
-    change.base = ConfigVersion(countAt(body, "base", current.version.value()));
+    change.base = ConfigVersion(unsignedAt(body, "base", current.version.value()));
     if (change.text.empty() || change.id.empty() || change.author.empty()) {
         responder->respond(errorResponse(400, "bad_change", "text, change and author are required"));
         return;
@@ -181,19 +181,19 @@
     m_configs.apply(std::move(change), [this, copy, responder](const control::ApplyResult& result) {
         telemetry::logInfo("config_apply",
             { { "change", copy.id.value() }, { "author", copy.author },
-                { "end", std::to_string(static_cast<int>(result.end)) } });
-        switch (result.end) {
-        case control::ApplyEnd::Accepted:
+                { "end", std::to_string(static_cast<int>(result.status)) } });
+        switch (result.status) {
+        case control::ApplyStatus::Accepted:
             responder->respond(
                 jsonResponse(200, { { "version", result.version.value() }, { "summary", copy.summary } }));
             return;
-        case control::ApplyEnd::Conflict:
+        case control::ApplyStatus::Conflict:
             respondConflict(copy, result, responder);
             return;
-        case control::ApplyEnd::Unavailable:
+        case control::ApplyStatus::Unavailable:
             responder->respond(errorResponse(503, "table_unavailable", "not accepted: the table is unavailable"));
             return;
-        case control::ApplyEnd::Ambiguous:
+        case control::ApplyStatus::Ambiguous:
             responder->respond(
                 errorResponse(500, "ambiguous", "the change may have been accepted: retry with the same change id"));
             return;
@@ -202,7 +202,7 @@
 }
 
 void OperatorApi::respondConflict(
-    const control::WantedChange& change, const control::ApplyResult& result, const ResponderPtr& responder)
+    const control::ConfigChangeRequest& change, const control::ApplyResult& result, const ResponderPtr& responder)
 {
     const auto key = control::configTextKey(result.version);
     m_table.read(key, m_clock.now() + tableTimeout, [change, result, responder](const store::ReadResult& read) {
@@ -220,7 +220,7 @@
     const auto limit = std::min(parseNumber(request.query("limit"), defaultRows), maxRows);
     m_table.scan(std::move(prefix), request.query("after"), limit, m_clock.now() + tableTimeout,
         [responder](const store::ReadResult& result) {
-            if (!result.answered) {
+            if (!result.succeeded) {
                 responder->respond(errorResponse(503, "table_unavailable", "the table is unavailable"));
                 return;
             }
@@ -260,7 +260,7 @@
     const auto key = control::auditKey(m_clock.wallNow(), m_settings.instance.value());
     m_table.transact({ { { key, std::nullopt } }, { { key, record.dump() } } }, m_clock.now() + tableTimeout,
         [this, responder](const store::TransactResult& result) {
-            const bool recorded = result.end == store::TransactEnd::Applied;
+            const bool recorded = result.outcome == store::TransactOutcome::Applied;
             responder->respond(jsonResponse(200, { { "draining", true }, { "recorded", recorded } }));
             m_hooks.drain();
         });
--- a/src/foxtailwheel/daemon/OperatorApi.h
+++ b/src/foxtailwheel/daemon/OperatorApi.h
@@ -58,7 +58,7 @@
     void audit(const http::Request& request, const ResponderPtr& responder);
     void drain(const http::Request& request, const ResponderPtr& responder);
     void respondConflict(
-        const control::WantedChange& change, const control::ApplyResult& result, const ResponderPtr& responder);
+        const control::ConfigChangeRequest& change, const control::ApplyResult& result, const ResponderPtr& responder);
     void respondRows(std::string prefix, const http::Request& request, const ResponderPtr& responder);
 
     const config::Settings& m_settings;
--- a/src/foxtailwheel/daemon/OrderService.cpp
+++ b/src/foxtailwheel/daemon/OrderService.cpp
@@ -49,10 +49,10 @@
 
 void OrderService::tick(const std::function<bool(const ServiceId&)>& isContender)
 {
-    const auto catalog = m_dispatcher.catalog();
-    if (!catalog)
+    const auto snapshot = m_dispatcher.snapshot();
+    if (!snapshot)
         return;
-    for (const auto& service : catalog->declarations->services) {
+    for (const auto& service : snapshot->declarations->services) {
         if (service.model.empty() || !isContender(service.id))
             continue;
         std::shared_ptr<Pool> pool;
@@ -99,7 +99,7 @@
     for (const auto& server : service.servers) {
         const auto now = m_clock.now();
         // Checked before each order, because the lease may expire in between.
-        const auto fencing = pool->lease.mayOrder(now, fencingChecked);
+        const auto fencing = pool->lease.currentFencingToken(now, fencingChecked);
         if (!fencing || pool->ordersInFlight.size() >= maxOrdersInFlight)
             return;
         const auto it = pool->acceptedOrders.find(server.id);
@@ -113,16 +113,16 @@
 }
 
 void OrderService::sendOrder(const std::shared_ptr<Pool>& pool, const config::Service& service,
-    const config::BackendServer& server, FencingNumber fencing)
+    const config::BackendServer& server, FencingToken fencing)
 {
     const nlohmann::json body { { "model", service.model }, { "fencing", fencing.value() } };
     const auto until = m_clock.now() + orderTimeout;
     http::CallRequest call { { server.host, server.port },
         { "POST", "/v1/orders", { { "Content-Type", "application/json" } }, body.dump() }, until, until, false };
-    http::CallEvents events;
+    http::CallCallbacks events;
     events.onDone = [this, pool, id = server.id, model = service.model](const http::CallResult& result) {
-        const bool accepted = result.end == http::CallEnd::Complete && result.response.status == 200;
-        m_metrics.count("foxtailwheel_orders_total", { { "result", accepted ? "taken" : "refused" } });
+        const bool accepted = result.outcome == http::TransportOutcome::Complete && result.response.status == 200;
+        m_metrics.increment("foxtailwheel_orders_total", { { "result", accepted ? "taken" : "refused" } });
         const std::lock_guard lock(pool->mutex);
         pool->ordersInFlight.erase(id);
         if (accepted)
--- a/src/foxtailwheel/daemon/OrderService.h
+++ b/src/foxtailwheel/daemon/OrderService.h
@@ -34,7 +34,7 @@
     void advanceLease(const std::shared_ptr<Pool>& pool);
     void sendDueOrders(const std::shared_ptr<Pool>& pool, const config::Service& service);
     void sendOrder(const std::shared_ptr<Pool>& pool, const config::Service& service,
-        const config::BackendServer& server, FencingNumber fencing);
+        const config::BackendServer& server, FencingToken fencing);
 
     store::Table& m_table;
     http::Client& m_client;
--- a/src/foxtailwheel/daemon/PeerLink.cpp
+++ b/src/foxtailwheel/daemon/PeerLink.cpp
@@ -1,7 +1,7 @@
 #include "foxtailwheel/daemon/PeerLink.h"
 
 #include "foxtailwheel/membership/Membership.h"
-#include "foxtailwheel/peer/Network.h"
+#include "foxtailwheel/peer/Transport.h"
 #include "foxtailwheel/telemetry/Log.h"
 
 #include <algorithm>
@@ -36,7 +36,7 @@
 } // namespace
 
 struct PeerLink::Impl : std::enable_shared_from_this<PeerLink::Impl> {
-    Impl(http::IoPool& p, const Clock& c, membership::Member self, std::uint64_t seed, PeerLinkEvents e)
+    Impl(http::IoPool& p, const Clock& c, membership::Member self, std::uint64_t seed, PeerLinkCallbacks e)
         : pool(p)
         , clock(c)
         , membership(std::move(self), {}, seed)
@@ -54,8 +54,8 @@
     http::IoPool& pool;
     const Clock& clock;
     membership::Membership membership;
-    PeerLinkEvents callbacks;
-    std::unique_ptr<peer::Network> transport;
+    PeerLinkCallbacks callbacks;
+    std::unique_ptr<peer::Transport> transport;
     std::vector<InstanceId> live;
     std::vector<InstanceId> owners;
     std::set<InstanceId> unavailable;
@@ -67,7 +67,7 @@
     membership::MembershipActions actions;
     membership.tick(clock.now(), actions);
     execute(actions);
-    pool.after(tickPeriod, [weak = weak_from_this()] {
+    pool.postAfter(tickPeriod, [weak = weak_from_this()] {
         if (const auto self = weak.lock())
             self->tick();
     });
@@ -108,7 +108,7 @@
     unavailable = newUnavailable;
     telemetry::logInfo(
         "members_changed", { { "live", std::to_string(live.size()) }, { "gone", std::to_string(unavailable.size()) } });
-    callbacks.members(live, owners, unavailable);
+    callbacks.onMembersChanged(live, owners, unavailable);
     updatePoller();
 }
 
@@ -125,14 +125,14 @@
     if (std::exchange(isPoller, shouldPoll) == shouldPoll)
         return;
     telemetry::logInfo("poller_changed", { { "asking", shouldPoll ? "1" : "0" } });
-    callbacks.pollerChanged(shouldPoll);
+    callbacks.onPollerChanged(shouldPoll);
 }
 
 void PeerLink::Impl::onConnectionClosed(const config::Endpoint& address)
 {
     for (const auto& it : membership.members()) {
-        if (it.peers == address)
-            callbacks.connectionLost(it.id);
+        if (it.endpoint == address)
+            callbacks.onConnectionLost(it.id);
     }
 }
 
@@ -143,10 +143,10 @@
         membership.onPing(*ping, clock.now(), actions);
     else if (const auto* ack = std::get_if<membership::Ack>(&message))
         membership.onAck(*ack, clock.now(), actions);
-    else if (const auto* piece = std::get_if<peer::PieceNews>(&message))
-        callbacks.pieces(piece->sender.id, piece->news);
-    else if (const auto* table = std::get_if<peer::TableNews>(&message))
-        callbacks.tableNews({ table->table, table->after, table->answer });
+    else if (const auto* piece = std::get_if<peer::PieceUpdate>(&message))
+        callbacks.onPieceMessage(piece->sender.id, piece->message);
+    else if (const auto* table = std::get_if<peer::TableUpdate>(&message))
+        callbacks.onTableUpdate({ table->table, table->baseVersion, table->changes });
     execute(actions);
 }
 
@@ -161,13 +161,13 @@
 }
 
 Result<std::unique_ptr<PeerLink>> PeerLink::open(http::IoPool& pool, const Clock& clock, membership::Member self,
-    std::string key, std::uint64_t seed, PeerLinkEvents callbacks)
+    std::string key, std::uint64_t seed, PeerLinkCallbacks callbacks)
 {
     self.incarnation = Incarnation(static_cast<std::uint64_t>(clock.wallNow().time_since_epoch().count()));
-    const auto address = self.peers;
+    const auto address = self.endpoint;
     auto impl = std::make_shared<Impl>(pool, clock, std::move(self), seed, std::move(callbacks));
     // Frames are received on strands of the pool's single thread.
-    auto transport = peer::Network::listen(
+    auto transport = peer::Transport::listen(
         pool, address, std::move(key), [impl = impl.get()](const peer::Message& message) { impl->onMessage(message); });
     if (!transport)
         return transport.error();
@@ -176,29 +176,29 @@
     return std::unique_ptr<PeerLink>(new PeerLink(std::move(impl)));
 }
 
-void PeerLink::introduce(const std::vector<membership::Member>& members)
+void PeerLink::addIfUnknown(const std::vector<membership::Member>& members)
 {
     for (const auto& it : members)
-        m_impl->membership.introduce(it, m_impl->clock.now());
+        m_impl->membership.addIfUnknown(it, m_impl->clock.now());
     m_impl->updateMembers();
 }
 
-void PeerLink::tell(const InstanceId& to, const serving::PieceMessage& message)
+void PeerLink::send(const InstanceId& to, const serving::PieceMessage& message)
 {
     for (const auto& it : m_impl->membership.members()) {
         if (it.id == to)
-            m_impl->transport->send(it.peers, peer::PieceNews { m_impl->membership.self(), message });
+            m_impl->transport->send(it.endpoint, peer::PieceUpdate { m_impl->membership.self(), message });
     }
 }
 
-void PeerLink::tellZone(const control::TableNews& news)
+void PeerLink::sendToZone(const control::TableUpdate& news)
 {
     const auto& self = m_impl->membership.self();
-    const peer::TableNews message { self, news.table, news.after, news.answer };
+    const peer::TableUpdate message { self, news.table, news.after, news.answer };
     for (const auto& it : m_impl->membership.members()) {
         const bool isLive = it.state == membership::MemberState::Alive || it.state == membership::MemberState::Suspect;
         if (isLive && it.zone == self.zone && it.id != self.id)
-            m_impl->transport->send(it.peers, message);
+            m_impl->transport->send(it.endpoint, message);
     }
 }
 
--- a/src/foxtailwheel/http/Client.cpp
+++ b/src/foxtailwheel/http/Client.cpp
@@ -106,7 +106,7 @@
         /// @param strand Executor of the call; the executor of `stream` if a connection is reused.
         /// @param stream Connection to reuse, or null to open a new one.
         PooledCall(net::any_io_executor strand, std::unique_ptr<Stream> stream,
-            std::shared_ptr<IdleConnectionPool> pool, const Clock& clock, CallRequest request, CallEvents events)
+            std::shared_ptr<IdleConnectionPool> pool, const Clock& clock, CallRequest request, CallCallbacks events)
             : m_strand(std::move(strand))
             , m_idlePool(std::move(pool))
             , m_clock(clock)
@@ -130,7 +130,7 @@
         void enableKeepAlive();
         net::awaitable<boost::system::error_code> readBody(
             bhttp::response_parser<bhttp::buffer_body>& parser, std::string& body);
-        CallResult makeResult(CallEnd end, std::string detail) const { return { end, {}, std::move(detail) }; }
+        CallResult makeResult(TransportOutcome end, std::string detail) const { return { end, {}, std::move(detail) }; }
         CallResult errorResult(const boost::system::error_code& ec) const;
         void setStreamDeadline(TimePoint at);
 
@@ -138,7 +138,7 @@
         std::shared_ptr<IdleConnectionPool> m_idlePool;
         const Clock& m_clock;
         CallRequest m_request;
-        CallEvents m_events;
+        CallCallbacks m_events;
         std::unique_ptr<Stream> m_stream;
         beast::flat_buffer m_buffer;
         std::atomic<bool> m_cancelled { false };
@@ -166,10 +166,10 @@
     CallResult PooledCall::errorResult(const boost::system::error_code& ec) const
     {
         if (m_cancelled)
-            return makeResult(CallEnd::Cancelled, "cancelled");
+            return makeResult(TransportOutcome::Cancelled, "cancelled");
         if (ec == beast::error::timeout)
-            return makeResult(CallEnd::TimedOut, "timed out");
-        return makeResult(CallEnd::Broken, ec.message());
+            return makeResult(TransportOutcome::TimedOut, "timed out");
+        return makeResult(TransportOutcome::ConnectionLost, ec.message());
     }
 
     net::awaitable<bool> PooledCall::connect()
@@ -185,7 +185,7 @@
         if (connectError)
             co_return false;
         m_stream->socket().set_option(tcp::no_delay(true), ec);
-        if (m_request.probes)
+        if (m_request.tcpKeepAlive)
             enableKeepAlive();
         co_return true;
     }
@@ -214,8 +214,8 @@
         m_message.keep_alive(true);
         m_message.body() = request.body;
         m_message.prepare_payload();
-        if (!m_sendStarted && m_events.onFirstByte)
-            m_events.onFirstByte();
+        if (!m_sendStarted && m_events.onSendStart)
+            m_events.onSendStart();
         m_sendStarted = true;
         setStreamDeadline(m_request.deadline);
         if (request.body.size() > maxSequentialWriteBytes) {
@@ -265,7 +265,7 @@
         m_responseStarted = n > 0;
         if (ec)
             co_return errorResult(ec);
-        CallResult result { CallEnd::Complete, {}, {} };
+        CallResult result { TransportOutcome::Complete, {}, {} };
         result.response.status = parser.get().result_int();
         for (const auto& it : parser.get())
             result.response.headers.push_back({ std::string(it.name_string()), std::string(it.value()) });
@@ -288,13 +288,15 @@
         if (!m_stream) {
             const bool connected = co_await connect();
             if (!connected)
-                co_return makeResult(m_sendStarted ? CallEnd::Broken : CallEnd::NotSent, "cannot connect");
+                co_return makeResult(
+                    m_sendStarted ? TransportOutcome::ConnectionLost : TransportOutcome::NotSent, "cannot connect");
         }
         if (!m_sendStarted && (m_cancelled || m_clock.now() > m_request.sendBy))
-            co_return makeResult(CallEnd::NotSent, "cancelled or past the send deadline");
+            co_return makeResult(TransportOutcome::NotSent, "cancelled or past the send deadline");
         const bool written = co_await write();
         if (!written)
-            co_return makeResult(m_cancelled ? CallEnd::Cancelled : CallEnd::Broken, "cannot write");
+            co_return makeResult(
+                m_cancelled ? TransportOutcome::Cancelled : TransportOutcome::ConnectionLost, "cannot write");
         auto result = co_await read();
         co_return result;
     }
@@ -302,13 +304,14 @@
     net::awaitable<void> PooledCall::run()
     {
         auto result = co_await attempt();
-        const bool stale = m_reused && !m_responseStarted && result.end == CallEnd::Broken && !m_writeIncomplete;
+        const bool stale = m_reused && !m_responseStarted && result.outcome == TransportOutcome::ConnectionLost
+            && !m_writeIncomplete;
         if (stale) {
             m_stream.reset();
             result = co_await attempt();
         }
         const bool unresponsive = !m_responseStarted && m_sendStarted
-            && (result.end == CallEnd::TimedOut || result.end == CallEnd::Cancelled);
+            && (result.outcome == TransportOutcome::TimedOut || result.outcome == TransportOutcome::Cancelled);
         if (stale || unresponsive)
             m_idlePool->closeAll(m_request.server);
         if (m_stream)
@@ -325,7 +328,7 @@
         {
         }
 
-        std::shared_ptr<Call> start(CallRequest request, CallEvents events) override
+        std::shared_ptr<Call> start(CallRequest request, CallCallbacks events) override
         {
             const bool canReuse = request.idempotent && !request.newConnection;
             auto stream = canReuse ? m_idlePool->acquire(request.server, m_clock.now()) : nullptr;
--- a/src/foxtailwheel/http/HttpTest.cpp
+++ b/src/foxtailwheel/http/HttpTest.cpp
@@ -28,7 +28,7 @@
         options.maxHeaderBytes = 1000;
         options.headerTimeout = 300ms;
         options.bodyTimeout = 300ms;
-        options.maxUnreadBytes = 64U << 10U;
+        options.maxQueuedBytes = 64U << 10U;
         auto listening = http::Server::listen(*pool, options, std::move(handler));
         cr_assert(listening.has_value());
         server = std::move(listening).value();
@@ -48,7 +48,7 @@
     {
         const auto deadline = clock->now() + timeout;
         std::promise<http::CallResult> done;
-        http::CallEvents events;
+        http::CallCallbacks events;
         events.onDone = [&](http::CallResult result) { done.set_value(std::move(result)); };
         client->start({ { "127.0.0.1", server->port() }, { "POST", "/", {}, body }, deadline, deadline, idempotent },
             std::move(events));
@@ -81,15 +81,15 @@
     Fixture it;
     for (int i = 0; i < 50; ++i)
         cr_assert_eq(it.call(std::to_string(i)).response.body, std::to_string(i));
-    cr_assert_eq(it.server->connections(), 1U);
+    cr_assert_eq(it.server->openConnections(), 1U);
 }
 
 Test(Http, opensANewConnectionForEachNonIdempotentCall)
 {
     Fixture it;
     for (int i = 0; i < 5; ++i)
-        cr_assert(it.call("x", false).end == http::CallEnd::Complete);
-    cr_assert_geq(it.server->connections(), 5U);
+        cr_assert(it.call("x", false).outcome == http::TransportOutcome::Complete);
+    cr_assert_geq(it.server->openConnections(), 5U);
 }
 
 Test(Http, rejectsInvalidRequestsWithTheMatchingStatus)
@@ -118,7 +118,7 @@
         const std::lock_guard lock(mutex);
         responders.push_back(responder);
     });
-    cr_assert(it.call("x", true, 300ms).end == http::CallEnd::TimedOut);
+    cr_assert(it.call("x", true, 300ms).outcome == http::TransportOutcome::TimedOut);
     it.pool->stop();
     responders.clear();
 }
@@ -126,7 +126,7 @@
 Test(Http, reportsALostConnectionWhenTheServerCloses)
 {
     Fixture it([](const http::Request&, const std::shared_ptr<http::Responder>& responder) { responder->abort(); });
-    cr_assert(it.call("x").end == http::CallEnd::Broken);
+    cr_assert(it.call("x").outcome == http::TransportOutcome::ConnectionLost);
 }
 
 Test(Http, reportsALostConnectionWhenTheBodyIsTruncated)
@@ -136,7 +136,7 @@
         responder->write("half");
         responder->abort();
     });
-    cr_assert(it.call("x").end == http::CallEnd::Broken);
+    cr_assert(it.call("x").outcome == http::TransportOutcome::ConnectionLost);
 }
 
 Test(Http, reportsNotSentWhenTheConnectionIsRefused)
@@ -145,11 +145,11 @@
     const auto deadline = it.clock->now() + 5s;
     std::promise<http::CallResult> done;
     bool sendStarted = false;
-    http::CallEvents events;
-    events.onFirstByte = [&] { sendStarted = true; };
+    http::CallCallbacks events;
+    events.onSendStart = [&] { sendStarted = true; };
     events.onDone = [&](http::CallResult result) { done.set_value(std::move(result)); };
     it.client->start({ { "127.0.0.1", 1 }, { "POST", "/", {}, "x" }, deadline, deadline, false }, std::move(events));
-    cr_assert(done.get_future().get().end == http::CallEnd::NotSent);
+    cr_assert(done.get_future().get().outcome == http::TransportOutcome::NotSent);
     cr_assert(!sendStarted);
 }
 
@@ -157,7 +157,7 @@
 {
     std::promise<void> disconnected;
     Fixture it([&](const http::Request&, const std::shared_ptr<http::Responder>& responder) {
-        responder->onGone([&disconnected] { disconnected.set_value(); });
+        responder->onDisconnect([&disconnected] { disconnected.set_value(); });
     });
     {
         net::io_context context;
@@ -238,7 +238,7 @@
     const auto clock = systemClock();
     const auto client = http::Client::create(*pool, *clock);
     std::promise<http::CallResult> done;
-    http::CallEvents events;
+    http::CallCallbacks events;
     events.onDone = [&](http::CallResult result) { done.set_value(std::move(result)); };
     const auto deadline = clock->now() + 5s;
     client->start({ { "127.0.0.1", acceptor.local_endpoint().port() },
@@ -247,6 +247,6 @@
     const auto result = done.get_future().get();
     serverThread.join();
     pool->stop();
-    cr_assert_eq(result.end, http::CallEnd::Complete);
+    cr_assert_eq(result.outcome, http::TransportOutcome::Complete);
     cr_assert_eq(result.response.status, 503);
 }
--- a/src/foxtailwheel/http/IoPool.cpp
+++ b/src/foxtailwheel/http/IoPool.cpp
@@ -78,7 +78,7 @@
     net::post(m_impl->context, std::move(work));
 }
 
-void IoPool::after(Duration delay, std::function<void()> work)
+void IoPool::postAfter(Duration delay, std::function<void()> work)
 {
     auto timer = std::make_shared<net::steady_timer>(m_impl->context, delay);
     timer->async_wait([timer, work = std::move(work)](const boost::system::error_code& ec) {
--- a/src/foxtailwheel/http/Server.cpp
+++ b/src/foxtailwheel/http/Server.cpp
@@ -85,7 +85,7 @@
         bool write(std::string chunk) override { return push({ ResponsePartKind::Chunk, {}, std::move(chunk) }); }
         void endStream() override { push({ ResponsePartKind::LastChunk, {}, {} }); }
         void abort() override { push({ ResponsePartKind::Abort, {}, {} }); }
-        void onGone(std::function<void()> work) override;
+        void onDisconnect(std::function<void()> work) override;
 
         /// Waits for the next part; must run on the connection's strand.
         net::awaitable<ResponsePart> nextPart();
@@ -122,7 +122,7 @@
         return m_queuedBytes <= m_maxQueuedBytes;
     }
 
-    void Exchange::onGone(std::function<void()> work)
+    void Exchange::onDisconnect(std::function<void()> work)
     {
         {
             const std::lock_guard lock(m_mutex);
@@ -424,7 +424,7 @@
             if (!request)
                 break;
             ++m_state->requestsInProgress;
-            auto exchange = std::make_shared<Exchange>(m_stream.get_executor(), m_options.maxUnreadBytes);
+            auto exchange = std::make_shared<Exchange>(m_stream.get_executor(), m_options.maxQueuedBytes);
             m_currentExchange = exchange;
             watchForDisconnect();
             m_handler(std::move(*request), exchange);
@@ -530,7 +530,7 @@
     });
 }
 
-void Server::closeAfterAnswers()
+void Server::disableKeepAlive()
 {
     m_impl->state->keepAliveDisabled = true;
 }
@@ -540,12 +540,12 @@
     m_impl->limits->set(limits);
 }
 
-std::size_t Server::inProgress() const
+std::size_t Server::requestsInProgress() const
 {
     return m_impl->state->requestsInProgress;
 }
 
-std::size_t Server::connections() const
+std::size_t Server::openConnections() const
 {
     return m_impl->state->connections;
 }
--- a/src/foxtailwheel/limits/CapacityGate.cpp
+++ b/src/foxtailwheel/limits/ConcurrencyLimiter.cpp
@@ -1,17 +1,17 @@
-#include "foxtailwheel/limits/CapacityGate.h"
+#include "foxtailwheel/limits/ConcurrencyLimiter.h"
 
 #include <algorithm>
 
 namespace foxtailwheel::limits {
 
-void CapacityGate::setLimit(const ServiceId& service, double slots)
+void ConcurrencyLimiter::setLimit(const ServiceId& service, double slots)
 {
     m_usage[service].limit = slots;
 }
 
-bool CapacityGate::tryEnter(const std::vector<SlotHold>& reservations)
+bool ConcurrencyLimiter::tryAcquire(const std::vector<SlotReservation>& reservations)
 {
-    const bool fits = std::all_of(reservations.begin(), reservations.end(), [this](const SlotHold& it) {
+    const bool fits = std::all_of(reservations.begin(), reservations.end(), [this](const SlotReservation& it) {
         const auto& usage = m_usage[it.service];
         return usage.used <= 0 || usage.used + it.slots <= usage.limit;
     });
@@ -22,7 +22,7 @@
     return true;
 }
 
-void CapacityGate::leave(const std::vector<SlotHold>& reservations)
+void ConcurrencyLimiter::release(const std::vector<SlotReservation>& reservations)
 {
     constexpr double roundingErrorSlots = 1e-9; // sums of fractional slots do not return to exactly 0
     for (const auto& it : reservations) {
@@ -33,7 +33,7 @@
     }
 }
 
-double CapacityGate::utilization(const ServiceId& service) const
+double ConcurrencyLimiter::utilization(const ServiceId& service) const
 {
     const auto it = m_usage.find(service);
     if (it == m_usage.end() || it->second.limit <= 0)
@@ -41,7 +41,7 @@
     return it->second.used / it->second.limit;
 }
 
-double CapacityGate::limit(const ServiceId& service) const
+double ConcurrencyLimiter::limit(const ServiceId& service) const
 {
     const auto it = m_usage.find(service);
     return it == m_usage.end() ? 0 : it->second.limit;
--- a/src/foxtailwheel/limits/FairQueue.cpp
+++ b/src/foxtailwheel/limits/FairQueue.cpp
@@ -43,7 +43,7 @@
     return remove(true);
 }
 
-void FairQueue::drop()
+void FairQueue::dropFront()
 {
     if (!m_accountsByStartTag.empty())
         remove(false);
--- a/src/foxtailwheel/limits/LimitsTest.cpp
+++ b/src/foxtailwheel/limits/LimitsTest.cpp
@@ -1,8 +1,8 @@
-#include "foxtailwheel/limits/CapacityGate.h"
-#include "foxtailwheel/limits/ExtraBudget.h"
+#include "foxtailwheel/limits/ConcurrencyLimiter.h"
 #include "foxtailwheel/limits/FairQueue.h"
-#include "foxtailwheel/limits/RateLedger.h"
+#include "foxtailwheel/limits/RateAllocator.h"
 #include "foxtailwheel/limits/RateLimiter.h"
+#include "foxtailwheel/limits/RetryBudget.h"
 
 #include "foxtailwheel/base/Random.h"
 
@@ -83,25 +83,26 @@
 
 Test(ConcurrencyLimiter, rejectsRunWhenALaterStageIsFull)
 {
-    limits::CapacityGate limiter;
+    limits::ConcurrencyLimiter limiter;
     limiter.setLimit(ServiceId("encode"), 100);
     limiter.setLimit(ServiceId("generate"), 2);
-    const std::vector<limits::SlotHold> reservations { { ServiceId("encode"), 0.1 }, { ServiceId("generate"), 0.9 } };
-    cr_assert(limiter.tryEnter(reservations));
-    cr_assert(limiter.tryEnter(reservations));
-    cr_assert(!limiter.tryEnter(reservations));
-    limiter.leave(reservations);
-    cr_assert(limiter.tryEnter(reservations));
+    const std::vector<limits::SlotReservation> reservations { { ServiceId("encode"), 0.1 },
+        { ServiceId("generate"), 0.9 } };
+    cr_assert(limiter.tryAcquire(reservations));
+    cr_assert(limiter.tryAcquire(reservations));
+    cr_assert(!limiter.tryAcquire(reservations));
+    limiter.release(reservations);
+    cr_assert(limiter.tryAcquire(reservations));
 }
 
 Test(RetryBudget, isProportionalToFirstAttemptsAndShrinksUnderLoad)
 {
     const auto granted = [](double utilization) {
-        limits::ExtraBudget budget(0.05);
+        limits::RetryBudget budget(0.05);
         int n = 0;
         for (int i = 0; i < 10000; ++i) {
-            budget.earn(utilization);
-            n += budget.take(1) ? 1 : 0;
+            budget.onFirstAttempt(utilization);
+            n += budget.tryAcquire(1) ? 1 : 0;
         }
         return n;
     };
@@ -112,12 +113,12 @@
 Test(RateLimiter, admitsNoMoreThanItsShare)
 {
     limits::RateLimiter limiter;
-    limiter.setInstances(4);
+    limiter.setInstanceCount(4);
     const ClientAccountId account("a");
     int admitted = 0;
     TimePoint now = start;
     for (int i = 0; i < 10000; ++i, now += 1ms)
-        admitted += limiter.take(account, 100, now) == Duration {} ? 1 : 0;
+        admitted += limiter.tryAcquire(account, 100, now) == Duration {} ? 1 : 0;
     cr_assert_geq(admitted, 250);
     cr_assert_leq(admitted, 250 + 13);
 }
@@ -125,14 +126,14 @@
 Test(RateLimiter, assignedShareExpires)
 {
     limits::RateLimiter limiter;
-    limiter.setInstances(10);
+    limiter.setInstanceCount(10);
     const ClientAccountId account("a");
-    limiter.take(account, 100, start);
-    limiter.setAllowance(account, 100, start);
+    limiter.tryAcquire(account, 100, start);
+    limiter.setShare(account, 100, start);
     int admitted = 0;
     TimePoint now = start;
     for (int i = 0; i < 60000; ++i, now += 1ms)
-        admitted += limiter.take(account, 100, now) == Duration {} ? 1 : 0;
+        admitted += limiter.tryAcquire(account, 100, now) == Duration {} ? 1 : 0;
     const double allowed = 100 * toSeconds(limits::RateLimiter::shareLifetime) + 10 * 55;
     cr_assert_leq(admitted, allowed + 55);
 }
@@ -144,13 +145,13 @@
     for (int i = 0; i < 9; ++i)
         instances.emplace_back(std::to_string(i));
     for (int round = 0; round < 500; ++round) {
-        limits::RateLedger allocator;
+        limits::RateAllocator allocator;
         const ClientAccountId account("a");
         for (const auto& it : instances) {
             if (random.chance(0.6))
-                allocator.demanded(account, it, random.exponential(30), start);
+                allocator.setDemand(account, it, random.exponential(30), start);
         }
-        const auto shares = allocator.divide(account, 100, instances, start);
+        const auto shares = allocator.allocate(account, 100, instances, start);
         const double sum = std::accumulate(
             shares.begin(), shares.end(), 0.0, [](double n, const limits::RateShare& it) { return n + it.perSecond; });
         cr_assert_leq(sum, 100 + 1e-6);
@@ -160,13 +161,13 @@
 
 Test(RateAllocator, assignsRateByDemand)
 {
-    limits::RateLedger allocator;
+    limits::RateAllocator allocator;
     const ClientAccountId account("a");
-    allocator.demanded(account, InstanceId("0"), 90, start);
-    allocator.demanded(account, InstanceId("1"), 5, start);
-    const auto shares = allocator.divide(account, 100, { InstanceId("0"), InstanceId("1") }, start);
+    allocator.setDemand(account, InstanceId("0"), 90, start);
+    allocator.setDemand(account, InstanceId("1"), 5, start);
+    const auto shares = allocator.allocate(account, 100, { InstanceId("0"), InstanceId("1") }, start);
     for (const auto& it : shares)
         cr_assert_geq(it.perSecond, it.instance == InstanceId("0") ? 90 : 5);
-    allocator.sweep(start + 10s);
+    allocator.evictExpired(start + 10s);
     cr_assert(allocator.accounts().empty());
 }
--- a/src/foxtailwheel/limits/RateLedger.cpp
+++ b/src/foxtailwheel/limits/RateAllocator.cpp
@@ -1,15 +1,16 @@
-#include "foxtailwheel/limits/RateLedger.h"
+#include "foxtailwheel/limits/RateAllocator.h"
 
 #include <algorithm>
 
 namespace foxtailwheel::limits {
 
-void RateLedger::demanded(const ClientAccountId& account, const InstanceId& instance, double perSecond, TimePoint now)
+void RateAllocator::setDemand(
+    const ClientAccountId& account, const InstanceId& instance, double perSecond, TimePoint now)
 {
     m_demands[account][instance] = { perSecond, now + demandLifetime };
 }
 
-std::vector<RateShare> RateLedger::divide(
+std::vector<RateShare> RateAllocator::allocate(
     const ClientAccountId& account, double rate, const std::vector<InstanceId>& instances, TimePoint now) const
 {
     std::vector<RateShare> shares;
@@ -35,14 +36,14 @@
     return shares;
 }
 
-void RateLedger::sweep(TimePoint now)
+void RateAllocator::evictExpired(TimePoint now)
 {
     for (auto& it : m_demands)
         std::erase_if(it.second, [now](const auto& demand) { return demand.second.expiresAt <= now; });
     std::erase_if(m_demands, [](const auto& it) { return it.second.empty(); });
 }
 
-std::vector<ClientAccountId> RateLedger::accounts() const
+std::vector<ClientAccountId> RateAllocator::accounts() const
 {
     std::vector<ClientAccountId> ids;
     for (const auto& it : m_demands)
--- a/src/foxtailwheel/limits/RateLimiter.cpp
+++ b/src/foxtailwheel/limits/RateLimiter.cpp
@@ -26,7 +26,7 @@
     return account.rate / static_cast<double>(m_instanceCount);
 }
 
-Duration RateLimiter::take(const ClientAccountId& account, double rate, TimePoint now)
+Duration RateLimiter::tryAcquire(const ClientAccountId& account, double rate, TimePoint now)
 {
     const auto [it, inserted] = m_accounts.try_emplace(account);
     auto& state = it->second;
@@ -39,12 +39,12 @@
         state.bucket.setRate(share, burstForRate(share), now);
     ++state.requestCount;
     state.lastRequestAt = now;
-    if (state.bucket.take(1, now))
+    if (state.bucket.tryAcquire(1, now))
         return Duration {};
     return std::max<Duration>(state.bucket.timeUntilAvailable(1, now), 1ms);
 }
 
-void RateLimiter::setAllowance(const ClientAccountId& account, double perSecond, TimePoint now)
+void RateLimiter::setShare(const ClientAccountId& account, double perSecond, TimePoint now)
 {
     const auto it = m_accounts.find(account);
     if (it == m_accounts.end())
--- a/src/foxtailwheel/limits/ExtraBudget.cpp
+++ b/src/foxtailwheel/limits/RetryBudget.cpp
@@ -1,24 +1,24 @@
-#include "foxtailwheel/limits/ExtraBudget.h"
+#include "foxtailwheel/limits/RetryBudget.h"
 
 #include <algorithm>
 
 namespace foxtailwheel::limits {
 
-ExtraBudget::ExtraBudget(double share, double burst)
+RetryBudget::RetryBudget(double share, double burst)
     : m_share(share)
     , m_burst(burst)
     , m_balance(burst)
 {
 }
 
-void ExtraBudget::earn(double utilization)
+void RetryBudget::onFirstAttempt(double utilization)
 {
     constexpr double noCreditUtilization = 1.25; // first attempts at or above it add nothing to the budget
     const double credit = std::clamp(noCreditUtilization - utilization, 0.0, 1.0);
     m_balance = std::min(m_burst, m_balance + m_share * credit);
 }
 
-bool ExtraBudget::take(double n)
+bool RetryBudget::tryAcquire(double n)
 {
     if (m_balance < n)
         return false;
--- a/src/foxtailwheel/limits/WindowBudget.cpp
+++ b/src/foxtailwheel/limits/SlidingWindowRetryBudget.cpp
@@ -1,4 +1,4 @@
-#include "foxtailwheel/limits/WindowBudget.h"
+#include "foxtailwheel/limits/SlidingWindowRetryBudget.h"
 
 namespace foxtailwheel::limits {
 
@@ -16,26 +16,26 @@
 
 } // namespace
 
-WindowBudget::WindowBudget(double share, double fixedRetries, Duration window)
+SlidingWindowRetryBudget::SlidingWindowRetryBudget(double share, double fixedRetries, Duration window)
     : m_share(share)
     , m_fixedRetries(fixedRetries)
     , m_window(window)
 {
 }
 
-void WindowBudget::evictExpired(TimePoint now)
+void SlidingWindowRetryBudget::evictExpired(TimePoint now)
 {
     evictBefore(m_firstCalls, now - m_window);
     evictBefore(m_retries, now - m_window);
 }
 
-void WindowBudget::earn(TimePoint now)
+void SlidingWindowRetryBudget::onFirstCall(TimePoint now)
 {
     evictExpired(now);
     m_firstCalls.push_back(now);
 }
 
-double WindowBudget::remaining(TimePoint now)
+double SlidingWindowRetryBudget::remaining(TimePoint now)
 {
     evictExpired(now);
     const double allowed
@@ -43,7 +43,7 @@
     return spendableShare * allowed - static_cast<double>(m_retries.size());
 }
 
-bool WindowBudget::take(std::size_t n, TimePoint now)
+bool SlidingWindowRetryBudget::tryAcquire(std::size_t n, TimePoint now)
 {
     if (remaining(now) < static_cast<double>(n))
         return false;
--- a/src/foxtailwheel/limits/WindowBudgetTest.cpp
+++ b/src/foxtailwheel/limits/SlidingWindowRetryBudgetTest.cpp
@@ -1,4 +1,4 @@
-#include "foxtailwheel/limits/WindowBudget.h"
+#include "foxtailwheel/limits/SlidingWindowRetryBudget.h"
 #include "foxtailwheel/limits/RateMeter.h"
 
 #include <criterion/criterion.h>
@@ -15,17 +15,18 @@
     constexpr double share = 0.2;
     constexpr double fixedRetries = 58;
     constexpr std::size_t instances = 9;
-    std::vector<limits::WindowBudget> budgets(instances, limits::WindowBudget(share, fixedRetries, 10s));
+    std::vector<limits::SlidingWindowRetryBudget> budgets(
+        instances, limits::SlidingWindowRetryBudget(share, fixedRetries, 10s));
     std::deque<TimePoint> firstCalls;
     std::deque<TimePoint> retries;
     for (auto& it : budgets)
-        it.setInstances(instances);
+        it.setInstanceCount(instances);
     for (int tick = 0; tick < 4000; ++tick) {
         const auto now = start + tick * 10ms;
         auto& budget = budgets[static_cast<std::size_t>(tick) % instances];
-        budget.earn(now);
+        budget.onFirstCall(now);
         firstCalls.push_back(now);
-        if (budget.take(1, now))
+        if (budget.tryAcquire(1, now))
             retries.push_back(now);
         while (firstCalls.front() < now - 10s)
             firstCalls.pop_front();
@@ -39,11 +40,11 @@
 
 Test(SlidingWindowRetryBudget, rejectsARequestThatFitsOnlyInPart)
 {
-    limits::WindowBudget budget(0, 10, 10s);
-    cr_assert(!budget.take(9, start));
-    cr_assert(budget.take(8, start));
-    cr_assert(!budget.take(1, start + 9s));
-    cr_assert(budget.take(8, start + 11s));
+    limits::SlidingWindowRetryBudget budget(0, 10, 10s);
+    cr_assert(!budget.tryAcquire(9, start));
+    cr_assert(budget.tryAcquire(8, start));
+    cr_assert(!budget.tryAcquire(1, start + 9s));
+    cr_assert(budget.tryAcquire(8, start + 11s));
 }
 
 Test(RateMeter, measuresRateAndDecays)
--- a/src/foxtailwheel/limits/TokenBucket.cpp
+++ b/src/foxtailwheel/limits/TokenBucket.cpp
@@ -18,7 +18,7 @@
     return std::min(m_burst, m_tokens + elapsed * m_rate);
 }
 
-bool TokenBucket::take(double n, TimePoint now)
+bool TokenBucket::tryAcquire(double n, TimePoint now)
 {
     m_tokens = tokensAt(now);
     m_updatedAt = std::max(m_updatedAt, now);
--- a/src/foxtailwheel/membership/Member.cpp
+++ b/src/foxtailwheel/membership/Member.cpp
@@ -16,7 +16,7 @@
         return a.incarnation > b.incarnation;
     if (a.state != b.state)
         return a.state > b.state;
-    return a.config > b.config;
+    return a.configVersion > b.configVersion;
 }
 
 } // namespace foxtailwheel::membership
--- a/src/foxtailwheel/membership/Membership.cpp
+++ b/src/foxtailwheel/membership/Membership.cpp
@@ -102,7 +102,7 @@
 void Membership::gossipToRandomMembers(MembershipActions& out)
 {
     for (const auto& it : pickRandomMembers(m_options.fanout, m_self.id))
-        out.emplace_back(SendMessage { m_members.at(it).member.peers, Ping { ++m_sequence, {}, makeDigest() } });
+        out.emplace_back(SendMessage { m_members.at(it).member.endpoint, Ping { ++m_sequence, {}, makeDigest() } });
 }
 
 void Membership::tick(TimePoint now, MembershipActions& out)
@@ -128,7 +128,7 @@
     const auto target = m_probeOrder.back();
     m_probeOrder.pop_back();
     m_probe = Probe { target, ++m_sequence, now + m_options.ackTimeout, now + m_options.probeInterval, false };
-    out.emplace_back(SendMessage { m_members.at(target).member.peers, Ping { m_sequence, {}, makeDigest() } });
+    out.emplace_back(SendMessage { m_members.at(target).member.endpoint, Ping { m_sequence, {}, makeDigest() } });
 }
 
 void Membership::pingDeadMember(MembershipActions& out)
@@ -144,7 +144,7 @@
     Ping ping { ++m_sequence, {}, makeDigest() };
     // A member that is still alive refutes its own dead record.
     ping.digest.members.push_back(member);
-    out.emplace_back(SendMessage { member.peers, std::move(ping) });
+    out.emplace_back(SendMessage { member.endpoint, std::move(ping) });
 }
 
 void Membership::advanceProbe(TimePoint now, MembershipActions& out)
@@ -167,8 +167,8 @@
         return;
     m_probe->indirectProbesSent = true;
     for (const auto& it : pickRandomMembers(m_options.fanout, m_probe->target))
-        out.emplace_back(
-            SendMessage { m_members.at(it).member.peers, Ping { m_probe->sequence, m_probe->target, makeDigest() } });
+        out.emplace_back(SendMessage {
+            m_members.at(it).member.endpoint, Ping { m_probe->sequence, m_probe->target, makeDigest() } });
 }
 
 void Membership::expireMembers(TimePoint now, MembershipActions& out)
@@ -257,7 +257,7 @@
 {
     const bool isNewSender = isNewIncarnation(ping.digest.sender);
     applyDigest(ping.digest, now, out);
-    const auto& requester = ping.digest.sender.peers;
+    const auto& requester = ping.digest.sender.endpoint;
     if (isNewSender)
         gossipToRandomMembers(out);
     if (ping.target.empty() || ping.target == m_self.id) {
@@ -269,7 +269,7 @@
     if (it == m_members.end())
         return;
     m_relayedPings[++m_sequence] = { requester, ping.sequence, now + relayTimeout };
-    out.emplace_back(SendMessage { it->second.member.peers, Ping { m_sequence, {}, makeDigest() } });
+    out.emplace_back(SendMessage { it->second.member.endpoint, Ping { m_sequence, {}, makeDigest() } });
 }
 
 void Membership::onAck(const Ack& ack, TimePoint now, MembershipActions& out)
@@ -285,17 +285,17 @@
         m_probe.reset();
 }
 
-void Membership::introduce(const Member& member, TimePoint now)
+void Membership::addIfUnknown(const Member& member, TimePoint now)
 {
     if (member.id != m_self.id && !m_members.contains(member.id))
         applyMember(member, now);
 }
 
-void Membership::setConfig(ConfigVersion version, TimePoint /*now*/, MembershipActions& out)
+void Membership::setConfigVersion(ConfigVersion version, TimePoint /*now*/, MembershipActions& out)
 {
-    if (version <= m_self.config)
+    if (version <= m_self.configVersion)
         return;
-    m_self.config = version;
+    m_self.configVersion = version;
     queueUpdate(m_self);
     gossipToRandomMembers(out);
 }
@@ -307,7 +307,7 @@
     gossipToRandomMembers(out);
 }
 
-void Membership::notice(const ServerNotice& notice, TimePoint /*now*/, MembershipActions& out)
+void Membership::publishServerNotice(const ServerNotice& notice, TimePoint /*now*/, MembershipActions& out)
 {
     if (!applyServerNotice(notice))
         return;
@@ -323,7 +323,7 @@
     return all;
 }
 
-std::vector<Member> Membership::working() const
+std::vector<Member> Membership::activeMembers() const
 {
     auto all = members();
     std::erase_if(all, [](const Member& it) { return !isActive(it); });
--- a/src/foxtailwheel/membership/MembershipTest.cpp
+++ b/src/foxtailwheel/membership/MembershipTest.cpp
@@ -18,7 +18,7 @@
 {
     GossipGroup group(instanceCount, 0, 1);
     group.run(5s);
-    cr_assert(group.agreed());
+    cr_assert(group.hasConverged());
 }
 
 Test(Membership, aNewInstanceIsKnownToAllWithinThreeSeconds)
@@ -27,7 +27,7 @@
     group.run(5s);
     group.start(instanceCount);
     group.run(3s);
-    cr_assert(group.agreed());
+    cr_assert(group.hasConverged());
 }
 
 Test(Membership, aLeavingInstanceIsInactiveOnAllWithinThreeSeconds)
@@ -37,7 +37,7 @@
     group.leave(4);
     group.run(3s);
     for (std::size_t i = 0; i < instanceCount; ++i)
-        cr_assert_eq(group.at(i).working().size(), instanceCount - 1);
+        cr_assert_eq(group.at(i).activeMembers().size(), instanceCount - 1);
 }
 
 Test(Membership, aCrashedInstanceIsDetected)
@@ -46,7 +46,7 @@
     group.run(5s);
     group.kill(3);
     group.run(15s);
-    cr_assert(group.agreed());
+    cr_assert(group.hasConverged());
 }
 
 Test(Membership, aPausedInstanceRejoins)
@@ -55,10 +55,10 @@
     group.run(5s);
     group.pause(2);
     group.run(20s);
-    cr_assert_eq(group.at(0).working().size(), instanceCount - 1);
+    cr_assert_eq(group.at(0).activeMembers().size(), instanceCount - 1);
     group.resume(2);
     group.run(5s);
-    cr_assert(group.agreed());
+    cr_assert(group.hasConverged());
 }
 
 Test(Membership, thirtyPercentMessageLossKeepsTheViewsMostlyInAgreement)
@@ -68,7 +68,7 @@
     std::size_t secondsInAgreement = 0;
     for (int i = 0; i < 60; ++i) {
         group.run(1s);
-        secondsInAgreement += group.agreed() ? 1 : 0;
+        secondsInAgreement += group.hasConverged() ? 1 : 0;
     }
     cr_assert_geq(secondsInAgreement, 54U);
 }
@@ -77,13 +77,13 @@
 {
     GossipGroup group(instanceCount, 0, 7);
     group.run(5s);
-    group.cut({ 0, 2, 4 });
+    group.partition({ 0, 2, 4 });
     group.run(20s);
-    cr_assert_eq(group.at(0).working().size(), 3U);
-    cr_assert_eq(group.at(1).working().size(), instanceCount - 3);
-    group.cut({});
+    cr_assert_eq(group.at(0).activeMembers().size(), 3U);
+    cr_assert_eq(group.at(1).activeMembers().size(), instanceCount - 3);
+    group.partition({});
     group.run(10s);
-    cr_assert(group.agreed());
+    cr_assert(group.hasConverged());
 }
 
 Test(Membership, rollingReplacementOfAllInstancesConverges)
@@ -98,7 +98,7 @@
         group.run(2s);
     }
     group.run(3s);
-    cr_assert(group.agreed());
+    cr_assert(group.hasConverged());
 }
 
 Test(Membership, aConfigVersionIsKnownToAllWithinThreeSeconds)
@@ -106,9 +106,9 @@
     GossipGroup group(instanceCount, 0.1, 9);
     group.run(5s);
     for (std::size_t i = 0; i < instanceCount; ++i)
-        group.setConfig(i, ConfigVersion(1));
+        group.setConfigVersion(i, ConfigVersion(1));
     group.run(3s);
-    cr_assert(group.lowestKnownConfig() == ConfigVersion(1));
+    cr_assert(group.lowestKnownConfigVersion() == ConfigVersion(1));
 }
 
 Test(Membership, aLeavingServerIsKnownToAllWithinThreeSeconds)
@@ -117,7 +117,7 @@
     for (std::uint64_t seed = 10; seed < 30; ++seed) {
         GossipGroup group(instanceCount, 0.1, seed);
         group.run(5s);
-        group.noticeLeaving(seed % instanceCount, server);
+        group.announceLeaving(seed % instanceCount, server);
         group.run(3s);
         for (std::size_t i = 0; i < instanceCount; ++i)
             cr_assert(group.at(i).leavingServers().contains(server),
@@ -130,9 +130,9 @@
     const auto messagesPerInstance = [](std::size_t n) {
         GossipGroup group(n, 0, 11);
         group.run(20s);
-        const auto before = group.messages();
+        const auto before = group.sentMessages();
         group.run(10s);
-        return static_cast<double>(group.messages() - before) / static_cast<double>(n);
+        return static_cast<double>(group.sentMessages() - before) / static_cast<double>(n);
     };
     cr_assert_leq(messagesPerInstance(64), messagesPerInstance(8) * 1.1);
 }
--- a/src/foxtailwheel/peer/Message.cpp
+++ b/src/foxtailwheel/peer/Message.cpp
@@ -22,9 +22,9 @@
 
     auto pack(FlatBufferBuilder& fbb, const Member& member)
     {
-        return wire::CreateMemberDirect(fbb, member.id.value().c_str(), member.peers.host.c_str(), member.peers.port,
-            member.zone.value().c_str(), member.incarnation.value(), static_cast<std::uint8_t>(member.state),
-            member.config.value(), member.cores);
+        return wire::CreateMemberDirect(fbb, member.id.value().c_str(), member.endpoint.host.c_str(),
+            member.endpoint.port, member.zone.value().c_str(), member.incarnation.value(),
+            static_cast<std::uint8_t>(member.state), member.configVersion.value(), member.cores);
     }
 
     auto pack(FlatBufferBuilder& fbb, const Digest& digest)
@@ -68,13 +68,13 @@
         return packed;
     }
 
-    flatbuffers::Offset<wire::PieceMade> pack(FlatBufferBuilder& fbb, const serving::MadePiece& piece)
+    flatbuffers::Offset<wire::PieceMade> pack(FlatBufferBuilder& fbb, const serving::IndexedPieceResult& piece)
     {
         const auto* result = std::get_if<serving::ResultHandle>(&piece.result);
         if (result == nullptr)
             return wire::CreatePieceMadeDirect(
                 fbb, piece.index, nullptr, static_cast<std::uint8_t>(std::get<serving::PieceFailure>(piece.result)));
-        const auto& producer = result->maker;
+        const auto& producer = result->producer;
         return wire::CreatePieceMadeDirect(fbb, piece.index, result->value.c_str(), 0, producer.id.value().c_str(),
             producer.host.c_str(), producer.port, producer.zone.value().c_str());
     }
@@ -87,7 +87,7 @@
     std::vector<std::int64_t> packTimelyWaits(const serving::QueueWaits& waits)
     {
         std::vector<std::int64_t> out;
-        for (const auto wait : waits.timely)
+        for (const auto wait : waits.byPriority)
             out.push_back(microseconds(wait));
         return out;
     }
@@ -97,27 +97,27 @@
         FlatBufferBuilder& fbb;
         const Member& sender;
 
-        flatbuffers::Offset<wire::Envelope> operator()(const serving::PiecesAsked& it) const
+        flatbuffers::Offset<wire::Envelope> operator()(const serving::PieceRequest& it) const
         {
             const auto pieces = pack(fbb, it.pieces);
             return wrap(wire::Body::PiecesAsked,
                 wire::CreatePiecesAskedDirect(fbb, pack(fbb, sender), it.group.value(), it.service.value().c_str(),
-                    &pieces, it.priority, microseconds(it.goalLeft), microseconds(it.timeLeft),
-                    it.preferredZone.value().c_str(), microseconds(it.zoneLeft), it.resultBytes));
+                    &pieces, it.priority, microseconds(it.remainingTimeToTarget), microseconds(it.remainingTime),
+                    it.preferredZone.value().c_str(), microseconds(it.remainingTimeInZone), it.resultBytes));
         }
-        flatbuffers::Offset<wire::Envelope> operator()(const serving::PiecesTaken& it) const
+        flatbuffers::Offset<wire::Envelope> operator()(const serving::PieceRequestAck& it) const
         {
             const auto waits = packTimelyWaits(it.waits);
             return wrap(wire::Body::PiecesTaken,
                 wire::CreatePiecesTakenDirect(
                     fbb, pack(fbb, sender), it.group.value(), &waits, microseconds(it.waits.late)));
         }
-        flatbuffers::Offset<wire::Envelope> operator()(const serving::PiecesCancelled& it) const
+        flatbuffers::Offset<wire::Envelope> operator()(const serving::PieceRequestCancel& it) const
         {
             return wrap(
                 wire::Body::PiecesCancelled, wire::CreatePiecesCancelled(fbb, pack(fbb, sender), it.group.value()));
         }
-        flatbuffers::Offset<wire::Envelope> operator()(const serving::PiecesMade& it) const
+        flatbuffers::Offset<wire::Envelope> operator()(const serving::PieceResults& it) const
         {
             std::vector<flatbuffers::Offset<wire::PieceMade>> pieces;
             for (const auto& piece : it.pieces)
@@ -132,8 +132,8 @@
             const auto handles = fbb.CreateVectorOfStrings(it.handles);
             return wrap(wire::Body::ResultsReleased,
                 wire::CreateResultsReleased(fbb, pack(fbb, sender), fbb.CreateString(it.service.value()),
-                    fbb.CreateString(it.maker.id.value()), fbb.CreateString(it.maker.host), it.maker.port,
-                    fbb.CreateString(it.maker.zone.value()), handles));
+                    fbb.CreateString(it.producer.id.value()), fbb.CreateString(it.producer.host), it.producer.port,
+                    fbb.CreateString(it.producer.zone.value()), handles));
         }
 
         template <class T> flatbuffers::Offset<wire::Envelope> wrap(wire::Body type, flatbuffers::Offset<T> body) const
@@ -145,19 +145,22 @@
     struct Packer {
         FlatBufferBuilder& fbb;
 
-        auto operator()(const TableNews& it) const
+        auto operator()(const TableUpdate& it) const
         {
             std::vector<flatbuffers::Offset<wire::Row>> rows;
-            for (const auto& row : it.answer.rows) {
+            for (const auto& row : it.changes.rows) {
                 const auto& value = row.value.value_or(std::string());
                 const auto bytes = fbb.CreateVector(reinterpret_cast<const std::uint8_t*>(value.data()), value.size());
                 rows.push_back(wire::CreateRow(fbb, fbb.CreateString(row.key), bytes, !row.value));
             }
             return wrap(wire::Body::TableNews,
-                wire::CreateTableNewsDirect(fbb, pack(fbb, it.sender), it.table.c_str(), it.after, it.answer.version,
-                    microseconds(it.answer.storeTime), &rows));
+                wire::CreateTableNewsDirect(fbb, pack(fbb, it.sender), it.table.c_str(), it.baseVersion,
+                    it.changes.version, microseconds(it.changes.storeTime), &rows));
+        }
+        auto operator()(const PieceUpdate& it) const
+        {
+            return std::visit(PieceUpdatePacker { fbb, it.sender }, it.message);
         }
-        auto operator()(const PieceNews& it) const { return std::visit(PieceUpdatePacker { fbb, it.sender }, it.news); }
         auto operator()(const Ping& it) const
         {
             return wrap(wire::Body::Ping,
@@ -171,7 +174,7 @@
         auto operator()(const ConfigRequest& it) const
         {
             return wrap(wire::Body::ConfigRequest,
-                wire::CreateConfigRequest(fbb, pack(fbb, it.sender), it.version.value(), it.have.value()));
+                wire::CreateConfigRequest(fbb, pack(fbb, it.sender), it.version.value(), it.currentVersion.value()));
         }
         auto operator()(const ConfigReply& it) const
         {
@@ -205,12 +208,12 @@
         if (member == nullptr)
             return out;
         out.id = InstanceId(stringOrEmpty(member->id()));
-        out.peers = { stringOrEmpty(member->host()), member->port() };
+        out.endpoint = { stringOrEmpty(member->host()), member->port() };
         out.zone = AvailabilityZoneId(stringOrEmpty(member->zone()));
         out.incarnation = Incarnation(member->incarnation());
         out.state = static_cast<MemberState>(
             std::min<std::uint8_t>(member->state(), static_cast<std::uint8_t>(MemberState::Dead)));
-        out.config = ConfigVersion(member->config());
+        out.configVersion = ConfigVersion(member->config());
         out.cores = member->cores();
         return out;
     }
@@ -253,16 +256,16 @@
         return out;
     }
 
-    serving::PiecesAsked unpack(const wire::PiecesAsked& request)
+    serving::PieceRequest unpack(const wire::PiecesAsked& request)
     {
-        serving::PiecesAsked out;
+        serving::PieceRequest out;
         out.group = serving::PieceGroupId(request.group());
         out.service = ServiceId(stringOrEmpty(request.service()));
         out.priority = request.priority();
-        out.goalLeft = std::chrono::microseconds(request.goal_us());
-        out.timeLeft = std::chrono::microseconds(request.left_us());
+        out.remainingTimeToTarget = std::chrono::microseconds(request.goal_us());
+        out.remainingTime = std::chrono::microseconds(request.left_us());
         out.preferredZone = AvailabilityZoneId(stringOrEmpty(request.zone()));
-        out.zoneLeft = std::chrono::microseconds(request.zone_us());
+        out.remainingTimeInZone = std::chrono::microseconds(request.zone_us());
         out.resultBytes = request.result_bytes();
         if (request.pieces() == nullptr)
             return out;
@@ -283,21 +286,21 @@
     {
         serving::QueueWaits waits;
         const auto n = message.waits_us() == nullptr ? 0 : message.waits_us()->size();
-        for (flatbuffers::uoffset_t i = 0; i < std::min<std::size_t>(n, waits.timely.size()); ++i)
-            waits.timely.at(i) = std::chrono::microseconds(message.waits_us()->Get(i));
+        for (flatbuffers::uoffset_t i = 0; i < std::min<std::size_t>(n, waits.byPriority.size()); ++i)
+            waits.byPriority.at(i) = std::chrono::microseconds(message.waits_us()->Get(i));
         waits.late = std::chrono::microseconds(message.late_us());
         return waits;
     }
 
-    serving::PiecesTaken unpack(const wire::PiecesTaken& ack)
+    serving::PieceRequestAck unpack(const wire::PiecesTaken& ack)
     {
         return { serving::PieceGroupId(ack.group()), unpackWaits(ack) };
     }
 
-    serving::PiecesMade unpack(const wire::PiecesMade& result)
+    serving::PieceResults unpack(const wire::PiecesMade& result)
     {
-        serving::PiecesMade out { serving::PieceGroupId(result.group()), ServiceId(stringOrEmpty(result.service())), {},
-            unpackWaits(result) };
+        serving::PieceResults out { serving::PieceGroupId(result.group()), ServiceId(stringOrEmpty(result.service())),
+            {}, unpackWaits(result) };
         if (result.pieces() == nullptr)
             return out;
         for (const auto* it : *result.pieces()) {
@@ -327,12 +330,12 @@
         return out;
     }
 
-    TableNews unpack(const wire::TableNews& update)
+    TableUpdate unpack(const wire::TableNews& update)
     {
-        TableNews out { unpack(update.sender()), stringOrEmpty(update.table()), update.after(), {} };
-        out.answer.end = store::FeedEnd::Answered;
-        out.answer.version = update.version();
-        out.answer.storeTime = std::chrono::microseconds(update.store_us());
+        TableUpdate out { unpack(update.sender()), stringOrEmpty(update.table()), update.after(), {} };
+        out.changes.outcome = store::FeedOutcome::Success;
+        out.changes.version = update.version();
+        out.changes.storeTime = std::chrono::microseconds(update.store_us());
         if (update.rows() == nullptr)
             return out;
         for (const auto* it : *update.rows()) {
@@ -340,7 +343,7 @@
             if (!it->deleted())
                 row.value
                     = it->value() == nullptr ? std::string() : std::string(it->value()->begin(), it->value()->end());
-            out.answer.rows.push_back(std::move(row));
+            out.changes.rows.push_back(std::move(row));
         }
         return out;
     }
@@ -348,15 +351,16 @@
     std::optional<Message> unpackPieceUpdate(const wire::Envelope& envelope)
     {
         if (const auto* it = envelope.body_as_PiecesAsked())
-            return PieceNews { unpack(it->sender()), unpack(*it) };
+            return PieceUpdate { unpack(it->sender()), unpack(*it) };
         if (const auto* it = envelope.body_as_PiecesTaken())
-            return PieceNews { unpack(it->sender()), unpack(*it) };
+            return PieceUpdate { unpack(it->sender()), unpack(*it) };
         if (const auto* it = envelope.body_as_PiecesCancelled())
-            return PieceNews { unpack(it->sender()), serving::PiecesCancelled { serving::PieceGroupId(it->group()) } };
+            return PieceUpdate { unpack(it->sender()),
+                serving::PieceRequestCancel { serving::PieceGroupId(it->group()) } };
         if (const auto* it = envelope.body_as_PiecesMade())
-            return PieceNews { unpack(it->sender()), unpack(*it) };
+            return PieceUpdate { unpack(it->sender()), unpack(*it) };
         if (const auto* it = envelope.body_as_ResultsReleased())
-            return PieceNews { unpack(it->sender()), unpack(*it) };
+            return PieceUpdate { unpack(it->sender()), unpack(*it) };
         return std::nullopt;
     }
 
--- a/src/foxtailwheel/peer/PeerTest.cpp
+++ b/src/foxtailwheel/peer/PeerTest.cpp
@@ -1,5 +1,5 @@
 #include "foxtailwheel/peer/Message.h"
-#include "foxtailwheel/peer/Network.h"
+#include "foxtailwheel/peer/Transport.h"
 
 #include "foxtailwheel/base/Random.h"
 
@@ -53,10 +53,10 @@
     return condition();
 }
 
-std::unique_ptr<peer::Network> listenWith(
-    http::IoPool& pool, const std::string& key, peer::Network::MessageHandler onMessage)
+std::unique_ptr<peer::Transport> listenWith(
+    http::IoPool& pool, const std::string& key, peer::Transport::MessageHandler onMessage)
 {
-    auto transport = peer::Network::listen(pool, { "127.0.0.1", 0 }, key, std::move(onMessage));
+    auto transport = peer::Transport::listen(pool, { "127.0.0.1", 0 }, key, std::move(onMessage));
     cr_assert(transport.has_value());
     return std::move(transport).value();
 }
--- a/src/foxtailwheel/peer/Network.cpp
+++ b/src/foxtailwheel/peer/Transport.cpp
@@ -1,4 +1,4 @@
-#include "foxtailwheel/peer/Network.h"
+#include "foxtailwheel/peer/Transport.h"
 
 #include "foxtailwheel/peer/Handshake.h"
 
@@ -85,7 +85,7 @@
     class OutgoingConnection : public std::enable_shared_from_this<OutgoingConnection> {
     public:
         OutgoingConnection(net::io_context& context, config::Endpoint to, std::string key,
-            std::shared_ptr<Counters> counters, Network::DisconnectHandler onDisconnect)
+            std::shared_ptr<Counters> counters, Transport::DisconnectHandler onDisconnect)
             : m_onDisconnect(std::move(onDisconnect))
             , m_strand(net::make_strand(context))
             , m_to(std::move(to))
@@ -103,7 +103,7 @@
         net::awaitable<bool> performHandshake();
         void watchForDisconnect();
 
-        Network::DisconnectHandler m_onDisconnect;
+        Transport::DisconnectHandler m_onDisconnect;
         net::strand<net::io_context::executor_type> m_strand;
         config::Endpoint m_to;
         std::string m_key;
@@ -237,7 +237,7 @@
     /// A connection accepted from a peer; carries frames in one direction only, from the peer.
     class IncomingConnection {
     public:
-        IncomingConnection(tcp::socket socket, const std::string& key, Network::MessageHandler onMessage,
+        IncomingConnection(tcp::socket socket, const std::string& key, Transport::MessageHandler onMessage,
             std::shared_ptr<Counters> counters)
             : m_stream(std::move(socket))
             , m_key(key)
@@ -258,7 +258,7 @@
 
         beast::tcp_stream m_stream;
         const std::string& m_key;
-        Network::MessageHandler m_onMessage;
+        Transport::MessageHandler m_onMessage;
         std::shared_ptr<Counters> m_counters;
     };
 
@@ -333,7 +333,7 @@
         m_stream.close();
     }
 
-    class TcpTransport final : public Network {
+    class TcpTransport final : public Transport {
     public:
         TcpTransport(
             net::io_context& context, std::string key, MessageHandler onMessage, DisconnectHandler onDisconnect)
@@ -348,7 +348,7 @@
         boost::system::error_code open(const config::Endpoint& address);
         void send(const config::Endpoint& to, const Message& message) override;
         void close() override;
-        NetworkCounts counts() const override;
+        TransportCounts counts() const override;
         std::uint16_t port() const override;
 
     private:
@@ -423,9 +423,9 @@
             it.second->close();
     }
 
-    NetworkCounts TcpTransport::counts() const
+    TransportCounts TcpTransport::counts() const
     {
-        NetworkCounts counts;
+        TransportCounts counts;
         for (std::size_t i = 0; i < counts.refused.size(); ++i)
             counts.refused.at(i) = m_counters->refused.at(i);
         counts.sentFrames = m_counters->sentFrames;
@@ -443,14 +443,14 @@
 
 } // namespace
 
-Result<std::unique_ptr<Network>> Network::listen(http::IoPool& pool, const config::Endpoint& address, std::string key,
-    MessageHandler onMessage, DisconnectHandler onDisconnect)
+Result<std::unique_ptr<Transport>> Transport::listen(http::IoPool& pool, const config::Endpoint& address,
+    std::string key, MessageHandler onMessage, DisconnectHandler onDisconnect)
 {
     auto transport
         = std::make_unique<TcpTransport>(pool.context(), std::move(key), std::move(onMessage), std::move(onDisconnect));
     if (const auto ec = transport->open(address))
         return fail(Errc::Unreachable, "cannot listen on " + address.toString() + ": " + ec.message());
-    return std::unique_ptr<Network>(std::move(transport));
+    return std::unique_ptr<Transport>(std::move(transport));
 }
 
 } // namespace foxtailwheel::peer
--- a/src/foxtailwheel/pipeline/Outcome.cpp
+++ b/src/foxtailwheel/pipeline/Outcome.cpp
@@ -28,7 +28,7 @@
 
 } // namespace
 
-Payload payloadOf(std::string text)
+Payload makePayload(std::string text)
 {
     return std::make_shared<const std::string>(std::move(text));
 }
--- a/src/foxtailwheel/pipeline/Plan.cpp
+++ b/src/foxtailwheel/pipeline/Plan.cpp
@@ -5,7 +5,7 @@
 
 namespace foxtailwheel::pipeline {
 
-bool Plan::hasEffect() const
+bool Plan::hasSideEffects() const
 {
     return std::any_of(stages.begin(), stages.end(), [](const Stage& it) { return !it.idempotent; });
 }
--- a/src/foxtailwheel/pipeline/Run.cpp
+++ b/src/foxtailwheel/pipeline/Run.cpp
@@ -9,7 +9,7 @@
 
     using namespace std::chrono_literals;
 
-    constexpr std::size_t maxAttempts = 4;
+    constexpr std::size_t maxStageAttempts = 4;
     /// Time after the end of a run for which the result of a non-idempotent call is still recorded.
     constexpr Duration lingerTimeout = 30s;
     /// Fraction of the slack by which a hedge is delayed.
@@ -72,12 +72,12 @@
             return Reason::NoServer;
         case CallFailure::Refused:
             return Reason::Overloaded;
-        case CallFailure::Rejected:
+        case CallFailure::InvalidRequest:
             return Reason::BackendRejected;
-        case CallFailure::Broken:
-        case CallFailure::Silent:
+        case CallFailure::ConnectionLost:
+        case CallFailure::TimedOut:
         case CallFailure::Truncated:
-        case CallFailure::Failed:
+        case CallFailure::ServerError:
             break;
         }
         return Reason::BackendFailed;
@@ -131,7 +131,7 @@
     void setHedgeTimer(StageIndex stage, AttemptNumber attempt, TimePoint now, Actions& out);
     void complete(StageIndex stage, Payload result, TimePoint now, Actions& out);
     void retryOrFinish(StageIndex stage, CallFailure failure, TimePoint now, Actions& out);
-    void recordClaim(StageIndex stage, ClaimEnd outcome, Payload answer, Actions& out);
+    void recordClaim(StageIndex stage, ClaimOutcome outcome, Payload answer, Actions& out);
     void cancel(StageIndex stage, Attempt& attempt, Actions& out);
     void cancelOthers(StageIndex stage, AttemptNumber winner, Actions& out);
     bool sideEffectPossible() const;
@@ -171,7 +171,7 @@
 {
     StageInput input { request.body, {} };
     for (const auto dependency : stageAt(stage).dependencies)
-        input.parts.push_back({ stageAt(dependency).service, stages[dependency].result });
+        input.dependencyResults.push_back({ stageAt(dependency).service, stages[dependency].result });
     return input;
 }
 
@@ -248,7 +248,7 @@
     }
 }
 
-void Run::Impl::recordClaim(StageIndex stage, ClaimEnd outcome, Payload answer, Actions& out)
+void Run::Impl::recordClaim(StageIndex stage, ClaimOutcome outcome, Payload answer, Actions& out)
 {
     if (!std::exchange(stages[stage].claimed, false))
         return;
@@ -260,7 +260,7 @@
     auto& state = stages[stage];
     state.phase = Phase::Done;
     state.result = result;
-    recordClaim(stage, ClaimEnd::Answered, result, out);
+    recordClaim(stage, ClaimOutcome::Answered, result, out);
     if (finished)
         return;
     if (stage == request.plan->resultStage())
@@ -306,7 +306,7 @@
         out.push_back(
             SetTimer { { request.id, TimerKind::Linger, stage, state.attempts.back().number }, now + lingerTimeout });
     else if (state.phase == Phase::Running)
-        recordClaim(stage, state.sideEffectPossible() ? ClaimEnd::Unknown : ClaimEnd::NotStarted, nullptr, out);
+        recordClaim(stage, state.sideEffectPossible() ? ClaimOutcome::Unknown : ClaimOutcome::NotStarted, nullptr, out);
 }
 
 void Run::Impl::retryOrFinish(StageIndex stage, CallFailure failure, TimePoint now, Actions& out)
@@ -315,9 +315,9 @@
     if (state.hasOpenAttempt())
         return;
     const bool started = !neverStarted(failure);
-    const bool allowed = stageAt(stage).idempotent ? failure != CallFailure::Rejected : !started;
-    const bool possible = allowed && state.attempts.size() < maxAttempts && !cannotFinishInTime(stage, now);
-    if (!possible || !policy.takeExtra(stageAt(stage), started)) {
+    const bool allowed = stageAt(stage).idempotent ? failure != CallFailure::InvalidRequest : !started;
+    const bool possible = allowed && state.attempts.size() < maxStageAttempts && !cannotFinishInTime(stage, now);
+    if (!possible || !policy.tryAcquireRetry(stageAt(stage), started)) {
         finish(nullptr, reasonOf(failure), now, out);
         return;
     }
@@ -334,7 +334,8 @@
         state.streamingAttempt.reset();
     if (finished) {
         if (!stageAt(stage).idempotent && !state.hasOpenAttempt())
-            recordClaim(stage, state.sideEffectPossible() ? ClaimEnd::Unknown : ClaimEnd::NotStarted, nullptr, out);
+            recordClaim(
+                stage, state.sideEffectPossible() ? ClaimOutcome::Unknown : ClaimOutcome::NotStarted, nullptr, out);
         return;
     }
     if (state.phase == Phase::Running)
@@ -366,10 +367,10 @@
     const auto* attempt = state.findAttempt(id.attempt);
     const bool useful = attempt != nullptr && attempt->stateMachine.isOpen() && state.phase == Phase::Running
         && !state.streamingAttempt;
-    if (finished || !useful || !stageAt(id.stage).idempotent || state.hedged || state.attempts.size() >= maxAttempts
-        || cannotFinishInTime(id.stage, now))
+    if (finished || !useful || !stageAt(id.stage).idempotent || state.hedged
+        || state.attempts.size() >= maxStageAttempts || cannotFinishInTime(id.stage, now))
         return;
-    if (!policy.takeExtra(stageAt(id.stage), true))
+    if (!policy.tryAcquireRetry(stageAt(id.stage), true))
         return;
     state.hedged = true;
     ++counters.hedges;
@@ -382,14 +383,14 @@
     auto* attempt = state.findAttempt(id.attempt);
     if (finished || attempt == nullptr || !attempt->stateMachine.isOpen())
         return;
-    const auto due = attempt->lastProgress + policy.progressLimit(stageAt(id.stage));
+    const auto due = attempt->lastProgress + policy.progressTimeout(stageAt(id.stage));
     if (due > now) {
         out.push_back(SetTimer { id, due });
         return;
     }
     attempt->stateMachine.process(AttemptEvent::Failure);
     out.push_back(CancelCall { attemptId(id.stage, id.attempt) });
-    handleFailure(id.stage, *attempt, CallFailure::Silent, now, out);
+    handleFailure(id.stage, *attempt, CallFailure::TimedOut, now, out);
 }
 
 void Run::Impl::onLingerTimer(const TimerId& id, Actions& out)
@@ -397,7 +398,7 @@
     auto& state = stages[id.stage];
     for (auto& it : state.attempts)
         cancel(id.stage, it, out);
-    recordClaim(id.stage, ClaimEnd::Unknown, nullptr, out);
+    recordClaim(id.stage, ClaimOutcome::Unknown, nullptr, out);
 }
 
 Run::Run(RunRequest request, RunPolicy& policy)
@@ -443,7 +444,7 @@
     m_impl->appendTokens(id.stage, *attempt, stage->tokenCount - offset, tokens, out);
     if (first)
         out.push_back(SetTimer { { m_impl->request.id, TimerKind::Progress, id.stage, id.attempt },
-            now + m_impl->policy.progressLimit(m_impl->stageAt(id.stage)) });
+            now + m_impl->policy.progressTimeout(m_impl->stageAt(id.stage)) });
 }
 
 void Run::onStreamEnd(const AttemptId& id, std::uint64_t total, TimePoint now, Actions& out)
@@ -461,7 +462,7 @@
     }
     attempt->stateMachine.process(AttemptEvent::Answer);
     m_impl->cancelOthers(id.stage, id.attempt, out);
-    m_impl->complete(id.stage, payloadOf(stage->text), now, out);
+    m_impl->complete(id.stage, makePayload(stage->text), now, out);
 }
 
 void Run::onAnswer(const AttemptId& id, Payload body, TimePoint now, Actions& out)
@@ -503,7 +504,7 @@
     if (result.state == ClaimState::Granted) {
         state.claimed = true;
         if (impl.finished)
-            impl.recordClaim(stage, ClaimEnd::NotStarted, nullptr, out);
+            impl.recordClaim(stage, ClaimOutcome::NotStarted, nullptr, out);
         else if (impl.cannotFinishInTime(stage, now))
             impl.finish(nullptr, Reason::DeadlineExceeded, now, out);
         else
--- a/src/foxtailwheel/pipeline/RunTest.cpp
+++ b/src/foxtailwheel/pipeline/RunTest.cpp
@@ -1,6 +1,6 @@
 #include "foxtailwheel/pipeline/Run.h"
 
-#include "foxtailwheel/testing/Declared.h"
+#include "foxtailwheel/testing/TestDeclarations.h"
 
 #include <criterion/criterion.h>
 
@@ -28,8 +28,8 @@
 public:
     Duration expectedTime(const pipeline::Stage&) const override { return 10ms; }
     std::optional<Duration> hedgeDelay(const pipeline::Stage&) const override { return 30ms; }
-    Duration progressLimit(const pipeline::Stage&) const override { return 100ms; }
-    bool takeExtra(const pipeline::Stage&, bool) override { return retryBudget-- > 0; }
+    Duration progressTimeout(const pipeline::Stage&) const override { return 100ms; }
+    bool tryAcquireRetry(const pipeline::Stage&, bool) override { return retryBudget-- > 0; }
 
     int retryBudget = 10;
 };
@@ -39,7 +39,7 @@
     explicit Fixture(const std::string& pipeline)
         : plan(std::make_shared<const pipeline::Plan>(
             pipeline::makePlan(*testing::smallDeployment(2), PipelineId(pipeline)).value()))
-        , run({ RunId(7), plan, pipeline::payloadOf("{}"), start + plan->deadline, true }, policy)
+        , run({ RunId(7), plan, pipeline::makePayload("{}"), start + plan->deadline, true }, policy)
     {
         run.start(start, actions);
     }
@@ -63,7 +63,7 @@
     }
 
     AttemptId call() const { return last<StartCall>()->id; }
-    void answer(const std::string& body) { run.onAnswer(call(), pipeline::payloadOf(body), start, actions); }
+    void answer(const std::string& body) { run.onAnswer(call(), pipeline::makePayload(body), start, actions); }
     void grantClaim() { run.onClaim(0, { ClaimState::Granted, nullptr }, start, actions); }
     /// Answers the stages that precede the stream.
     void advanceToStream()
@@ -86,8 +86,8 @@
     it.answer("\"encoded\"");
     const auto* call = it.last<StartCall>();
     cr_assert_eq(call->id.stage, 1U);
-    cr_assert_eq(call->input.parts.size(), 1U);
-    cr_assert_eq(*call->input.parts.front().result, std::string("\"encoded\""));
+    cr_assert_eq(call->input.dependencyResults.size(), 1U);
+    cr_assert_eq(*call->input.dependencyResults.front().result, std::string("\"encoded\""));
 }
 
 Test(Run, brokenStreamResumesAtTheLastToken)
@@ -96,7 +96,7 @@
     it.advanceToStream();
     const auto first = it.call();
     it.run.onTokens(first, 0, { "a", "b" }, start, it.actions);
-    it.run.onFailure(first, CallFailure::Broken, start, it.actions);
+    it.run.onFailure(first, CallFailure::ConnectionLost, start, it.actions);
     const auto* resumed = it.last<StartCall>();
     cr_assert_eq(resumed->resumeFrom, 2U);
     cr_assert_eq(resumed->textSoFar, std::string("ab"));
@@ -113,7 +113,7 @@
     it.advanceToStream();
     const auto first = it.call();
     it.run.onTokens(first, 0, { "a" }, start, it.actions);
-    it.run.onFailure(first, CallFailure::Broken, start, it.actions);
+    it.run.onFailure(first, CallFailure::ConnectionLost, start, it.actions);
     it.run.onTokens(first, 1, { "x" }, start, it.actions);
     cr_assert_eq(it.countOf<EmitTokens>(), 1U);
     cr_assert_eq(it.run.counters().unmatchedResults, 1U);
@@ -149,9 +149,9 @@
     it.run.onTimer({ RunId(7), TimerKind::Hedge, 0, first.attempt }, start + 600ms, it.actions);
     const auto second = it.call();
     cr_assert(second != first);
-    it.run.onAnswer(second, pipeline::payloadOf("1"), start + 600ms, it.actions);
+    it.run.onAnswer(second, pipeline::makePayload("1"), start + 600ms, it.actions);
     cr_assert(it.last<pipeline::CancelCall>()->id == first);
-    it.run.onAnswer(first, pipeline::payloadOf("2"), start + 600ms, it.actions);
+    it.run.onAnswer(first, pipeline::makePayload("2"), start + 600ms, it.actions);
     cr_assert_eq(it.run.counters().unmatchedResults, 1U);
 }
 
@@ -159,7 +159,7 @@
 {
     Fixture it("answer");
     it.policy.retryBudget = 0;
-    it.run.onFailure(it.call(), CallFailure::Failed, start, it.actions);
+    it.run.onFailure(it.call(), CallFailure::ServerError, start, it.actions);
     cr_assert(it.last<Finish>()->outcome.kind == OutcomeKind::NotRun);
     cr_assert(it.last<Finish>()->outcome.reason == Reason::BackendFailed);
 }
@@ -167,7 +167,7 @@
 Test(Run, callThatCannotFinishInTimeIsNotSent)
 {
     Fixture it("answer");
-    it.run.onAnswer(it.call(), pipeline::payloadOf("1"), start + 1995ms, it.actions);
+    it.run.onAnswer(it.call(), pipeline::makePayload("1"), start + 1995ms, it.actions);
     cr_assert_eq(it.countOf<StartCall>(), 1U);
     cr_assert(it.last<Finish>()->outcome.reason == Reason::DeadlineExceeded);
 }
@@ -188,10 +188,10 @@
     const auto call = it.call();
     it.run.onSent(call);
     it.run.onTimer({ RunId(7), TimerKind::Hedge, 0, call.attempt }, start + 900ms, it.actions);
-    it.run.onFailure(call, CallFailure::Broken, start, it.actions);
+    it.run.onFailure(call, CallFailure::ConnectionLost, start, it.actions);
     cr_assert_eq(it.countOf<StartCall>(), 1U);
     cr_assert(it.last<Finish>()->outcome.kind == OutcomeKind::Unknown);
-    cr_assert(it.last<RecordClaim>()->outcome == pipeline::ClaimEnd::Unknown);
+    cr_assert(it.last<RecordClaim>()->outcome == pipeline::ClaimOutcome::Unknown);
 }
 
 Test(Run, refusedNonIdempotentCallEndsAsNotRun)
@@ -202,7 +202,7 @@
     it.run.onSent(it.call());
     it.run.onFailure(it.call(), CallFailure::Refused, start, it.actions);
     cr_assert(it.last<Finish>()->outcome.kind == OutcomeKind::NotRun);
-    cr_assert(it.last<RecordClaim>()->outcome == pipeline::ClaimEnd::NotStarted);
+    cr_assert(it.last<RecordClaim>()->outcome == pipeline::ClaimOutcome::NotStarted);
     cr_assert(it.run.closed());
 }
 
@@ -213,8 +213,8 @@
     it.run.onTimer({ RunId(7), TimerKind::Deadline, 0, {} }, start + 1s, it.actions);
     cr_assert(it.last<Finish>()->outcome.kind == OutcomeKind::Unknown);
     cr_assert(!it.run.closed());
-    it.run.onAnswer(it.call(), pipeline::payloadOf("booked"), start + 2s, it.actions);
-    cr_assert(it.last<RecordClaim>()->outcome == pipeline::ClaimEnd::Answered);
+    it.run.onAnswer(it.call(), pipeline::makePayload("booked"), start + 2s, it.actions);
+    cr_assert(it.last<RecordClaim>()->outcome == pipeline::ClaimOutcome::Answered);
     cr_assert_eq(it.countOf<Finish>(), 1U);
     cr_assert(it.run.closed());
 }
@@ -226,7 +226,7 @@
     cr_assert(it.last<Finish>()->outcome.kind == OutcomeKind::NotRun);
     it.grantClaim();
     cr_assert_eq(it.countOf<StartCall>(), 0U);
-    cr_assert(it.last<RecordClaim>()->outcome == pipeline::ClaimEnd::NotStarted);
+    cr_assert(it.last<RecordClaim>()->outcome == pipeline::ClaimOutcome::NotStarted);
     cr_assert(it.run.closed());
 }
 
--- a/src/foxtailwheel/routing/LoadBalancingPolicy.cpp
+++ b/src/foxtailwheel/routing/LoadBalancingPolicy.cpp
@@ -67,16 +67,16 @@
 
 } // namespace
 
-std::unique_ptr<LoadBalancingPolicy> makeLoadBalancingPolicy(ChoicePolicyKind kind)
+std::unique_ptr<LoadBalancingPolicy> makeLoadBalancingPolicy(LoadBalancingPolicyKind kind)
 {
     switch (kind) {
-    case ChoicePolicyKind::RoundRobin:
+    case LoadBalancingPolicyKind::RoundRobin:
         return std::make_unique<RoundRobin>();
-    case ChoicePolicyKind::LeastReportedLoad:
+    case LoadBalancingPolicyKind::LeastReportedLoad:
         return std::make_unique<LeastReportedLoad>();
-    case ChoicePolicyKind::PowerOfTwo:
+    case LoadBalancingPolicyKind::PowerOfTwoChoices:
         return std::make_unique<PowerOfTwo>();
-    case ChoicePolicyKind::LeastExpectedTime:
+    case LoadBalancingPolicyKind::LeastExpectedTime:
         break;
     }
     return std::make_unique<LeastExpectedTime>();
--- a/src/foxtailwheel/routing/RoutingTest.cpp
+++ b/src/foxtailwheel/routing/RoutingTest.cpp
@@ -1,7 +1,7 @@
 #include "foxtailwheel/routing/ServerPool.h"
 #include "foxtailwheel/routing/Subset.h"
 
-#include "foxtailwheel/testing/Declared.h"
+#include "foxtailwheel/testing/TestDeclarations.h"
 
 #include <criterion/criterion.h>
 #include <map>
@@ -9,7 +9,7 @@
 
 using namespace foxtailwheel;
 using namespace std::chrono_literals;
-using routing::CallSign;
+using routing::CallOutcome;
 using routing::LoadEstimate;
 using routing::PlacementRequest;
 using routing::PrefixIndex;
@@ -21,7 +21,7 @@
 
 std::unique_ptr<routing::ServerPool> makePool(std::size_t servers)
 {
-    const auto service = testing::serviceOf("encode", config::ServiceKind::Encoder, servers);
+    const auto service = testing::makeService("encode", config::ServiceKind::Encoder, servers);
     routing::PoolOptions options;
     options.self = InstanceId("instance-0");
     options.zone = AvailabilityZoneId("a");
@@ -46,24 +46,24 @@
 Test(ServerHealth, suspectsAfterTwoFailuresAndRecoversAfterTwoSuccesses)
 {
     ServerHealth health;
-    health.onCallEnded(CallSign::Broken, start);
+    health.onCallEnded(CallOutcome::Failed, start);
     cr_assert(health.isUsable(start, 3));
-    health.onCallEnded(CallSign::Broken, start);
+    health.onCallEnded(CallOutcome::Failed, start);
     cr_assert(!health.isUsable(start, 0));
     cr_assert(health.isUsable(start + 1s, 0));
     cr_assert(!health.isUsable(start + 1s, 1));
-    health.onCallEnded(CallSign::Good, start + 1s);
+    health.onCallEnded(CallOutcome::Success, start + 1s);
     cr_assert(health.isSuspected());
-    health.onCallEnded(CallSign::Good, start + 1s);
+    health.onCallEnded(CallOutcome::Success, start + 1s);
     cr_assert(!health.isSuspected());
 }
 
 Test(ServerHealth, backoffDoublesWithEachFailedProbe)
 {
     ServerHealth health;
-    health.onCallEnded(CallSign::Unreachable, start);
+    health.onCallEnded(CallOutcome::Unreachable, start);
     cr_assert(health.isUsable(start + 600ms, 0));
-    health.onCallEnded(CallSign::Unreachable, start + 600ms);
+    health.onCallEnded(CallOutcome::Unreachable, start + 600ms);
     cr_assert(!health.isUsable(start + 1400ms, 0));
     cr_assert(health.isUsable(start + 1700ms, 0));
 }
@@ -72,7 +72,7 @@
 {
     ServerHealth health;
     for (int i = 0; i < 10; ++i)
-        health.onCallEnded(CallSign::Busy, start);
+        health.onCallEnded(CallOutcome::Rejected, start);
     cr_assert(!health.isSuspected());
 }
 
@@ -101,7 +101,7 @@
 
 Test(Subset, isBalancedAndStable)
 {
-    const auto servers = testing::serviceOf("encode", config::ServiceKind::Encoder, 200).servers;
+    const auto servers = testing::makeService("encode", config::ServiceKind::Encoder, 200).servers;
     std::map<std::size_t, int> useCount;
     for (int i = 0; i < 200; ++i) {
         const auto zone = AvailabilityZoneId(i % 2 == 0 ? "a" : "b");
@@ -157,7 +157,7 @@
 {
     const auto pool = makePool(1);
     pool->place({}, start);
-    pool->ended(BackendServerId("encode-0"), { CallSign::Unreachable, {}, {} }, start);
+    pool->onCallEnded(BackendServerId("encode-0"), { CallOutcome::Unreachable, {}, {} }, start);
     const PlacementRequest healthyOnly { {}, {}, true };
     cr_assert(!pool->place(healthyOnly, start + 5s).has_value());
     cr_assert(pool->place({}, start + 5s).has_value());
@@ -173,7 +173,8 @@
         const auto placement = pool->place({}, now);
         const bool isSlow = placement->server.id == slow;
         lateSlowCalls += isSlow && i >= 200 ? 1 : 0;
-        pool->ended(placement->server.id, { CallSign::Good, isSlow ? Duration(100ms) : Duration(10ms), {} }, now);
+        pool->onCallEnded(
+            placement->server.id, { CallOutcome::Success, isSlow ? Duration(100ms) : Duration(10ms), {} }, now);
     }
     cr_assert_lt(lateSlowCalls, 20);
 }
@@ -183,7 +184,7 @@
     const auto pool = makePool(3);
     pool->place({}, start);
     const auto declared = testing::smallDeployment(4);
-    pool->update(testing::serviceOf("encode", config::ServiceKind::Encoder, 4), *declared);
+    pool->update(testing::makeService("encode", config::ServiceKind::Encoder, 4), *declared);
     std::uint32_t own = 0;
     for (const auto& it : pool->status())
         own += it.ownCalls;
--- a/src/foxtailwheel/routing/ServerHealth.cpp
+++ b/src/foxtailwheel/routing/ServerHealth.cpp
@@ -23,23 +23,23 @@
     m_nextProbeAt = now + m_backoff;
 }
 
-void ServerHealth::onCallEnded(CallSign sign, TimePoint now)
+void ServerHealth::onCallEnded(CallOutcome sign, TimePoint now)
 {
     switch (sign) {
-    case CallSign::Good:
+    case CallOutcome::Success:
         m_consecutiveFailures = 0;
         if (m_suspected && ++m_consecutiveSuccesses >= successesToRecover)
             m_suspected = false;
         return;
-    case CallSign::Unreachable:
+    case CallOutcome::Unreachable:
         if (!m_suspected || now >= m_nextProbeAt)
             markSuspected(now);
         return;
-    case CallSign::Broken:
+    case CallOutcome::Failed:
         if (++m_consecutiveFailures >= failuresToSuspect && (!m_suspected || now >= m_nextProbeAt))
             markSuspected(now);
         return;
-    case CallSign::Busy:
+    case CallOutcome::Rejected:
         return;
     }
 }
--- a/src/foxtailwheel/routing/ServerPool.cpp
+++ b/src/foxtailwheel/routing/ServerPool.cpp
@@ -171,14 +171,14 @@
     for (const auto index : subset) {
         const auto& server = servers[index];
         const bool isUsable
-            = request.careful ? !server.health.isSuspected() : server.health.isUsable(now, server.load.ownCalls());
+            = request.healthyOnly ? !server.health.isSuspected() : server.health.isUsable(now, server.load.ownCalls());
         const bool isAvoided = applyAvoid
             && std::find(request.avoid.begin(), request.avoid.end(), server.declared.id) != request.avoid.end();
-        const bool isFull = request.mostOwnCalls && server.load.ownCalls() >= *request.mostOwnCalls;
+        const bool isFull = request.maxOwnCalls && server.load.ownCalls() >= *request.maxOwnCalls;
         if (!isUsable || isAvoided || isFull)
             continue;
         const auto candidate = makeCandidate(index, request, now);
-        if (!request.longest || fromSeconds(candidate.expectedSeconds) <= *request.longest)
+        if (!request.maxExpectedTime || fromSeconds(candidate.expectedSeconds) <= *request.maxExpectedTime)
             candidates.push_back(candidate);
     }
 }
@@ -193,8 +193,8 @@
 
 std::size_t ServerPool::Impl::pickServer(const PlacementRequest& request, TimePoint now)
 {
-    if (request.affinity)
-        return pickByAffinity(*request.affinity, now);
+    if (request.affinityKey)
+        return pickByAffinity(*request.affinityKey, now);
     return candidates[policy->pick(candidates, random)].server;
 }
 
@@ -291,8 +291,8 @@
         m_impl->collectCandidates(request, false, now);
     if (m_impl->candidates.empty())
         return std::nullopt;
-    if (request.zone)
-        m_impl->keepCandidatesInZone(*request.zone);
+    if (request.preferredZone)
+        m_impl->keepCandidatesInZone(*request.preferredZone);
     const auto index = m_impl->pickServer(request, now);
     auto& server = m_impl->servers[index];
     const double expected = m_impl->makeCandidate(index, request, now).expectedSeconds;
@@ -302,21 +302,21 @@
     return Placement { server.declared, server.linkCost, fromSeconds(expected), !server.isLocal };
 }
 
-void ServerPool::ended(const BackendServerId& id, const CallReport& report, TimePoint now)
+void ServerPool::onCallEnded(const BackendServerId& id, const CallReport& report, TimePoint now)
 {
     const std::lock_guard lock(m_impl->mutex);
     auto* server = m_impl->find(id);
     if (server == nullptr)
         return;
-    if (report.sign == CallSign::Good) {
-        m_impl->times.add(report.time);
-        m_impl->recordCallTime(*server, toSeconds(report.time), now);
+    if (report.outcome == CallOutcome::Success) {
+        m_impl->times.add(report.latency);
+        m_impl->recordCallTime(*server, toSeconds(report.latency), now);
     }
     server->load.onCallEnded(now);
-    server->health.onCallEnded(report.sign, now);
+    server->health.onCallEnded(report.outcome, now);
 }
 
-void ServerPool::cancelled(const BackendServerId& id, Duration after, TimePoint now)
+void ServerPool::onCallCancelled(const BackendServerId& id, Duration after, TimePoint now)
 {
     const std::lock_guard lock(m_impl->mutex);
     auto* server = m_impl->find(id);
@@ -331,14 +331,14 @@
     server->load.onCallEnded(now);
 }
 
-void ServerPool::reported(const BackendServerId& id, const LoadReport& report)
+void ServerPool::onLoadReport(const BackendServerId& id, const LoadReport& report)
 {
     const std::lock_guard lock(m_impl->mutex);
     if (auto* server = m_impl->find(id))
         server->load.onReport(report);
 }
 
-void ServerPool::cacheEvent(const BackendServerId& id, const CacheEvent& event)
+void ServerPool::onCacheEvent(const BackendServerId& id, const CacheEvent& event)
 {
     const std::lock_guard lock(m_impl->mutex);
     if (auto* server = m_impl->find(id))
@@ -352,25 +352,25 @@
     m_impl->rebuildSubset();
 }
 
-Duration ServerPool::expectedTime() const
+Duration ServerPool::expectedCallTime() const
 {
     const std::lock_guard lock(m_impl->mutex);
     return fromSeconds(m_impl->meanCallSeconds * std::max(1.0, m_impl->utilization()));
 }
 
-double ServerPool::busyShare() const
+double ServerPool::utilization() const
 {
     const std::lock_guard lock(m_impl->mutex);
     return m_impl->utilization();
 }
 
-Duration ServerPool::timeQuantile(double q, Duration fallback) const
+Duration ServerPool::callTimeQuantile(double q, Duration fallback) const
 {
     const std::lock_guard lock(m_impl->mutex);
     return m_impl->times.quantile(q, fallback);
 }
 
-double ServerPool::slots(TimePoint now) const
+double ServerPool::usableSlots(TimePoint now) const
 {
     const std::lock_guard lock(m_impl->mutex);
     const auto& subset = m_impl->subset;
@@ -384,7 +384,7 @@
     return share * m_impl->activeServers * m_impl->service.concurrency;
 }
 
-std::vector<config::BackendServer> ServerPool::freeServers(std::uint32_t maxOwnCalls, TimePoint now) const
+std::vector<config::BackendServer> ServerPool::availableServers(std::uint32_t maxOwnCalls, TimePoint now) const
 {
     const std::lock_guard lock(m_impl->mutex);
     std::vector<config::BackendServer> free;
--- a/src/foxtailwheel/serving/Admission.cpp
+++ b/src/foxtailwheel/serving/Admission.cpp
@@ -24,7 +24,7 @@
         }
 
         AdmissionResult request(const AdmissionRequest& request, TimePoint now) override;
-        void release(const std::vector<limits::SlotHold>& reservations) override;
+        void release(const std::vector<limits::SlotReservation>& reservations) override;
         DequeuedRuns dequeueReady(TimePoint now) override;
         void removeQueued(RunId run) override;
         void setSlotLimit(const ServiceId& service, double slots) override;
@@ -33,7 +33,7 @@
 
     private:
         struct QueuedRun {
-            std::vector<limits::SlotHold> reservations;
+            std::vector<limits::SlotReservation> reservations;
             TimePoint latestStart;
         };
 
@@ -41,7 +41,7 @@
 
         mutable std::mutex m_mutex;
         std::size_t m_maxQueued;
-        limits::CapacityGate m_gate;
+        limits::ConcurrencyLimiter m_gate;
         std::map<ServiceId, limits::FairQueue> m_queues;
         std::unordered_map<RunId, QueuedRun> m_queuedRuns;
     };
@@ -50,7 +50,7 @@
     {
         const std::lock_guard lock(m_mutex);
         auto& queue = m_queues[request.bottleneck];
-        if (queue.empty() && m_gate.tryEnter(request.reservations))
+        if (queue.empty() && m_gate.tryAcquire(request.reservations))
             return { AdmissionDecision::Admit, {} };
         const double rate = std::max(0.1, m_gate.limit(request.bottleneck));
         const auto expectedWait = fromSeconds(queue.costAhead(request.account, request.weight) / rate);
@@ -62,10 +62,10 @@
         return { AdmissionDecision::Queue, expectedWait };
     }
 
-    void QueuedAdmission::release(const std::vector<limits::SlotHold>& reservations)
+    void QueuedAdmission::release(const std::vector<limits::SlotReservation>& reservations)
     {
         const std::lock_guard lock(m_mutex);
-        m_gate.leave(reservations);
+        m_gate.release(reservations);
     }
 
     void QueuedAdmission::dequeueFrom(limits::FairQueue& queue, TimePoint now, DequeuedRuns& out)
@@ -74,7 +74,7 @@
             const auto it = m_queuedRuns.find(front->run);
             const bool removed = it == m_queuedRuns.end();
             const bool expired = !removed && it->second.latestStart < now;
-            if (!removed && !expired && !m_gate.tryEnter(it->second.reservations))
+            if (!removed && !expired && !m_gate.tryAcquire(it->second.reservations))
                 return;
             if (expired)
                 out.rejected.push_back(front->run);
@@ -83,7 +83,7 @@
             if (!removed)
                 m_queuedRuns.erase(it);
             if (removed || expired)
-                queue.drop();
+                queue.dropFront();
             else
                 queue.pop();
         }
--- a/src/foxtailwheel/serving/BatchForecast.cpp
+++ b/src/foxtailwheel/serving/BatchForecast.cpp
@@ -39,8 +39,8 @@
 
 double BatchForecast::throughput(double servers) const
 {
-    const auto fullCallSeconds = toSeconds(callTime(m_limits.pieces));
-    return fullCallSeconds <= 0 ? 1e9 : servers * m_limits.pieces / fullCallSeconds;
+    const auto fullCallSeconds = toSeconds(callTime(m_limits.maxPieces));
+    return fullCallSeconds <= 0 ? 1e9 : servers * m_limits.maxPieces / fullCallSeconds;
 }
 
 Duration BatchForecast::expectedWait(
@@ -53,7 +53,7 @@
     }
     const double total = throughput(servers);
     const double available = std::max(total - urgentRate, total * minThroughputShare);
-    const auto inCall = std::min<std::size_t>(ahead, m_limits.pieces);
+    const auto inCall = std::min<std::size_t>(ahead, m_limits.maxPieces);
     const double queued = static_cast<double>(ahead - inCall);
     return fromSeconds(queued / std::max(available, 1e-3)) + callTime(inCall);
 }
--- a/src/foxtailwheel/serving/BatchNames.cpp
+++ b/src/foxtailwheel/serving/BatchNames.cpp
@@ -5,11 +5,11 @@
 std::string_view toString(PieceFailure failure)
 {
     switch (failure) {
-    case PieceFailure::Late:
+    case PieceFailure::DeadlineExceeded:
         return "late";
-    case PieceFailure::InputGone:
+    case PieceFailure::InputMissing:
         return "input_gone";
-    case PieceFailure::NoRoom:
+    case PieceFailure::NoCapacity:
         return "no_room";
     case PieceFailure::OwnerChanged:
         return "moved";
@@ -19,16 +19,16 @@
     return "failed";
 }
 
-std::string_view toString(BatchEnd end)
+std::string_view toString(BatchOutcome end)
 {
     switch (end) {
-    case BatchEnd::Answered:
+    case BatchOutcome::Answered:
         return "answered";
-    case BatchEnd::NotRun:
+    case BatchOutcome::NotStarted:
         return "not_run";
-    case BatchEnd::Unreachable:
+    case BatchOutcome::Unreachable:
         return "unreachable";
-    case BatchEnd::Broken:
+    case BatchOutcome::Broken:
         break;
     }
     return "broken";
--- a/src/foxtailwheel/serving/BatchPlacement.cpp
+++ b/src/foxtailwheel/serving/BatchPlacement.cpp
@@ -21,8 +21,8 @@
 /// Returns the usable servers that accept a call now.
 std::vector<config::BackendServer> BatchQueue::Impl::freeServers(TimePoint now) const
 {
-    auto free = pool.freeServers(limits.slots + 1, now);
-    std::erase_if(free, [&](const config::BackendServer& it) { return !calls.takesNext(it.id, limits, now); });
+    auto free = pool.availableServers(limits.slots + 1, now);
+    std::erase_if(free, [&](const config::BackendServer& it) { return !calls.canSendTo(it.id, limits, now); });
     return free;
 }
 
@@ -40,9 +40,9 @@
 {
     const auto n = sizes.at(piece.group);
     const auto bytes = static_cast<double>(n * piece.resultBytes);
-    const bool large = static_cast<double>(n) > maxGroupShareOfCall * limits.pieces
-        || (limits.resultRoomBytes > 0
-            && bytes > maxGroupShareOfCapacity * static_cast<double>(limits.resultRoomBytes));
+    const bool large = static_cast<double>(n) > maxGroupShareOfCall * limits.maxPieces
+        || (limits.resultCapacityBytes > 0
+            && bytes > maxGroupShareOfCapacity * static_cast<double>(limits.resultCapacityBytes));
     return large ? 1 : n;
 }
 
@@ -52,13 +52,13 @@
 ArrivalNumbers BatchQueue::Impl::piecesCrossingZones(const std::vector<config::BackendServer>& free,
     const CapacityByZone& capacityByZone, const GroupSizes& sizes, TimePoint now) const
 {
-    ZoneForecast zones(forecast, limits.pieces);
+    ZoneForecast zones(forecast, limits.maxPieces);
     for (const auto& it : free)
         zones.addServer(it.zone, now);
     std::set<BackendServerId> known;
     for (const auto& it : free)
         known.insert(it.id);
-    for (const auto& [server, end] : calls.ends()) {
+    for (const auto& [server, end] : calls.lastEndTimes()) {
         if (!known.contains(server.id))
             zones.addServer(server.zone, std::max(end, now));
     }
@@ -73,8 +73,8 @@
         const auto last = before + n - 1;
         const auto idle = capacityByZone.find(*it.zone);
         const bool noCapacity = idle != capacityByZone.end() && idle->second < n * it.resultBytes;
-        bool crosses
-            = noCapacity || zones.exceedsNextCalls(*it.zone, last) || zones.madeBy(*it.zone, last) > it.crossZoneAfter;
+        bool crosses = noCapacity || zones.exceedsNextCalls(*it.zone, last)
+            || zones.estimateCompletion(*it.zone, last) > it.crossZoneAfter;
         if (n > 1)
             crosses = decisions.try_emplace(it.group, crosses).first->second;
         if (crosses)
@@ -110,17 +110,17 @@
     std::unordered_map<PieceGroupId, bool> fits; ///< Set by the first piece of a group.
     const auto addEligible = [&](bool fromOtherZones, bool late) {
         fits.clear();
-        for (auto it = waiting.begin(); it != waiting.end() && pieces.size() < limits.pieces;) {
+        for (auto it = waiting.begin(); it != waiting.end() && pieces.size() < limits.maxPieces;) {
             const auto next = std::next(it);
             const auto n = piecesInSameCall(*it, sizes);
             const bool localZone = !it->zone || *it->zone == server.zone;
             const bool inTime
-                = it->targetTime >= now + forecast.callTime(std::min<std::size_t>(pieces.size() + n, limits.pieces));
+                = it->targetTime >= now + forecast.callTime(std::min<std::size_t>(pieces.size() + n, limits.maxPieces));
             const bool eligible
                 = (late || inTime) && (localZone || (fromOtherZones && crossing.contains(it->arrivalNumber)));
             bool selected = eligible && it->resultBytes <= available;
             if (n > 1) {
-                const bool whole = pieces.size() + n <= limits.pieces && n * it->resultBytes <= available;
+                const bool whole = pieces.size() + n <= limits.maxPieces && n * it->resultBytes <= available;
                 selected = fits.try_emplace(it->group, eligible && whole).first->second;
             }
             if (selected) {
@@ -162,30 +162,30 @@
     const std::vector<config::BackendServer>& free, std::uint64_t requiredCapacity, TimePoint now)
 {
     routing::PlacementRequest request;
-    request.mostOwnCalls = limits.slots + 1;
-    request.zone = zone;
+    request.maxOwnCalls = limits.slots + 1;
+    request.preferredZone = zone;
     std::set<BackendServerId> usable;
     for (const auto& it : free) {
         if (it.zone == zone && capacity.available(it.id, now) >= requiredCapacity)
             usable.insert(it.id);
     }
-    for (const auto& it : pool.freeServers(limits.slots + 1, now)) {
+    for (const auto& it : pool.availableServers(limits.slots + 1, now)) {
         if (!usable.contains(it.id))
             request.avoid.push_back(it.id);
     }
     // The expected time at a server whose call is about to end includes that call.
     if (!calls.empty())
-        request.longest = fromSeconds(toSeconds(limits.callTime + limits.pieceTime) * (slowServerFactor + 1));
+        request.maxExpectedTime = fromSeconds(toSeconds(limits.callTime + limits.pieceTime) * (slowServerFactor + 1));
     auto placement = pool.place(request, now);
     if (!placement || usable.contains(placement->server.id))
         return placement;
-    pool.cancelled(placement->server.id, {}, now);
+    pool.onCallCancelled(placement->server.id, {}, now);
     return std::nullopt;
 }
 
 bool BatchQueue::Impl::sendNextCall(TimePoint now, std::vector<BatchAction>& out)
 {
-    if (waiting.empty() || calls.staying(now) >= maxCalls(now))
+    if (waiting.empty() || calls.countNotEnding(now) >= maxCalls(now))
         return false;
     const auto free = freeServers(now);
     if (free.empty())
@@ -205,7 +205,7 @@
         return false;
     auto pieces = takePieces(placement->server, crossing, sizes, now);
     if (pieces.empty()) {
-        pool.cancelled(placement->server.id, {}, now);
+        pool.onCallCancelled(placement->server.id, {}, now);
         return false;
     }
     pinGroupsToZone(pieces, placement->server.zone);
--- a/src/foxtailwheel/serving/BatchQueue.cpp
+++ b/src/foxtailwheel/serving/BatchQueue.cpp
@@ -29,25 +29,25 @@
 /// Returns the maximum number of concurrent calls of this queue.
 std::size_t BatchQueue::Impl::maxCalls(TimePoint now) const
 {
-    return static_cast<std::size_t>(std::max(1.0, std::ceil(slotShare * pool.slots(now))));
+    return static_cast<std::size_t>(std::max(1.0, std::ceil(slotShare * pool.usableSlots(now))));
 }
 
 void BatchQueue::Impl::send(
     const config::BackendServer& server, std::vector<WaitingPiece> pieces, TimePoint now, std::vector<BatchAction>& out)
 {
-    BatchCall call { server, std::move(pieces), calls.freeAt(server.id, now), {} };
-    call.expected = forecast.callTime(call.pieces.size());
+    BatchCall call { server, std::move(pieces), calls.nextStartTime(server.id, now), {} };
+    call.expectedDuration = forecast.callTime(call.pieces.size());
     SendBatch send { callbacks.newCallId(), service, server, {}, {}, {}, {}, waiting.size() };
     auto latest = now;
     for (const auto& it : call.pieces) {
         send.pieces.push_back(it.piece);
-        send.timeLeft.push_back(it.deadline - now);
-        send.waited = std::max(send.waited, now - it.queuedAt);
+        send.remainingTimes.push_back(it.deadline - now);
+        send.maxQueueTime = std::max(send.maxQueueTime, now - it.queuedAt);
         latest = std::max(latest, it.deadline);
         call.resultBytes += it.resultBytes;
     }
-    send.deadline = std::min(
-        latest, call.begunAt + std::max(minCallTimeout, fromSeconds(toSeconds(call.expected) * callTimeoutFactor)));
+    send.deadline = std::min(latest,
+        call.startsAt + std::max(minCallTimeout, fromSeconds(toSeconds(call.expectedDuration) * callTimeoutFactor)));
     capacity.reserve(server.id, call.resultBytes);
     calls.add(send.call, std::move(call));
     out.emplace_back(std::move(send));
@@ -101,7 +101,7 @@
             if (expectedAt <= piece->deadline || hedged.contains(piece->id()))
                 continue;
             --ahead;
-            out.emplace_back(PieceDone { piece->group, piece->piece.index, PieceFailure::Late });
+            out.emplace_back(PieceDone { piece->group, piece->piece.index, PieceFailure::DeadlineExceeded });
             waiting.erase(piece);
         }
     }
@@ -112,11 +112,11 @@
 void BatchQueue::Impl::hedgeSlowCalls(TimePoint now)
 {
     for (auto& [id, call] : calls.all()) {
-        if (call.doubled || now - call.begunAt < fromSeconds(toSeconds(call.expected) * hedgeFactor))
+        if (call.requeued || now - call.startsAt < fromSeconds(toSeconds(call.expectedDuration) * hedgeFactor))
             continue;
         if (!callbacks.tryAcquireRetries(call.pieces.size(), now))
             continue;
-        call.doubled = true;
+        call.requeued = true;
         for (const auto& it : call.pieces) {
             if (it.deadline > now && !delivered.contains(it.id()) && hedged.insert(it.id()).second)
                 waiting.insert(it);
@@ -135,43 +135,43 @@
 
 /// Scales the duration of the call to that of a call with one piece, so that the pool can compare calls of different
 /// sizes.
-routing::CallReport BatchQueue::Impl::callReport(const BatchCall& call, BatchEnd end, TimePoint now) const
+routing::CallReport BatchQueue::Impl::callReport(const BatchCall& call, BatchOutcome end, TimePoint now) const
 {
     routing::CallReport report;
     switch (end) {
-    case BatchEnd::Answered:
-        report.sign = routing::CallSign::Good;
+    case BatchOutcome::Answered:
+        report.outcome = routing::CallOutcome::Success;
         break;
-    case BatchEnd::NotRun:
-        report.sign = routing::CallSign::Busy;
+    case BatchOutcome::NotStarted:
+        report.outcome = routing::CallOutcome::Rejected;
         break;
-    case BatchEnd::Unreachable:
-        report.sign = routing::CallSign::Unreachable;
+    case BatchOutcome::Unreachable:
+        report.outcome = routing::CallOutcome::Unreachable;
         break;
-    case BatchEnd::Broken:
-        report.sign = routing::CallSign::Broken;
+    case BatchOutcome::Broken:
+        report.outcome = routing::CallOutcome::Failed;
         break;
     }
     const auto onePieceTime = limits.callTime + limits.pieceTime;
     const auto declaredTime = limits.callTime + limits.pieceTime * call.pieces.size();
-    report.time = fromSeconds(
-        toSeconds(now - call.begunAt) * toSeconds(onePieceTime) / std::max(1e-3, toSeconds(declaredTime)));
+    report.latency = fromSeconds(
+        toSeconds(now - call.startsAt) * toSeconds(onePieceTime) / std::max(1e-3, toSeconds(declaredTime)));
     return report;
 }
 
 /// Replaces the reservation of a call by its results, and then applies rejections for lack of capacity.
 void BatchQueue::Impl::updateCapacity(
-    const BatchCall& call, BatchEnd end, const std::vector<PieceResult>& results, TimePoint now)
+    const BatchCall& call, BatchOutcome end, const std::vector<PieceResult>& results, TimePoint now)
 {
     capacity.cancelReservation(call.server.id, call.resultBytes);
-    if (end != BatchEnd::Answered)
+    if (end != BatchOutcome::Answered)
         return;
     std::uint64_t rejectedBytes = 0;
     for (std::size_t i = 0; i < results.size(); ++i) {
         const auto bytes = call.pieces[i].resultBytes;
         if (const auto* handle = std::get_if<ResultHandle>(&results[i]))
             capacity.addResult(call.server.id, handle->value, bytes, now);
-        else if (std::get<PieceFailure>(results[i]) == PieceFailure::NoRoom)
+        else if (std::get<PieceFailure>(results[i]) == PieceFailure::NoCapacity)
             rejectedBytes = rejectedBytes == 0 ? bytes : std::min(rejectedBytes, bytes);
     }
     if (rejectedBytes > 0)
@@ -179,7 +179,7 @@
 }
 
 BatchQueue::BatchQueue(
-    ServiceId service, config::BatchLimits limits, routing::ServerPool& pool, BatchQueueEvents callbacks)
+    ServiceId service, config::BatchLimits limits, routing::ServerPool& pool, BatchQueueCallbacks callbacks)
     : m_impl(std::make_unique<Impl>(std::move(service), limits, pool, std::move(callbacks)))
 {
 }
@@ -190,20 +190,20 @@
 {
     m_impl->limits = limits;
     m_impl->forecast.setLimits(limits);
-    m_impl->capacity.setLimits(limits.resultRoomBytes, limits.resultLife);
+    m_impl->capacity.setLimits(limits.resultCapacityBytes, limits.resultLifetime);
 }
 
-void BatchQueue::setShare(double share)
+void BatchQueue::setSlotShare(double share)
 {
     m_impl->slotShare = share;
 }
 
 void BatchQueue::add(PieceGroup group, TimePoint now, std::vector<BatchAction>& out)
 {
-    if (group.goal >= now + m_impl->forecast.callTime(1))
+    if (group.targetTime >= now + m_impl->forecast.callTime(1))
         m_impl->forecast.recordArrival(group.priority, group.pieces.size(), now);
     for (auto& it : group.pieces)
-        m_impl->waiting.insert({ group.id, std::move(it), group.priority, group.goal, group.deadline,
+        m_impl->waiting.insert({ group.id, std::move(it), group.priority, group.targetTime, group.deadline,
             group.preferredZone, group.crossZoneAfter, group.resultBytes, ++m_impl->lastArrivalNumber, now, 0 });
     dispatch(now, out);
 }
@@ -224,28 +224,28 @@
 }
 
 void BatchQueue::onCallEnd(
-    CallId id, BatchEnd end, const std::vector<PieceResult>& results, TimePoint now, std::vector<BatchAction>& out)
+    CallId id, BatchOutcome end, const std::vector<PieceResult>& results, TimePoint now, std::vector<BatchAction>& out)
 {
-    auto endedCall = m_impl->calls.take(id, now);
+    auto endedCall = m_impl->calls.remove(id, now);
     if (!endedCall)
         return;
     auto& call = *endedCall;
-    if (end == BatchEnd::Answered && results.size() != call.pieces.size())
-        end = BatchEnd::Broken;
-    m_impl->pool.ended(call.server.id, m_impl->callReport(call, end, now), now);
-    if (end == BatchEnd::Answered)
-        m_impl->forecast.recordCall(call.pieces.size(), now - call.begunAt);
-    else if (end == BatchEnd::NotRun)
+    if (end == BatchOutcome::Answered && results.size() != call.pieces.size())
+        end = BatchOutcome::Broken;
+    m_impl->pool.onCallEnded(call.server.id, m_impl->callReport(call, end, now), now);
+    if (end == BatchOutcome::Answered)
+        m_impl->forecast.recordCall(call.pieces.size(), now - call.startsAt);
+    else if (end == BatchOutcome::NotStarted)
         m_impl->calls.pause(call.server.id, now);
     m_impl->updateCapacity(call, end, results, now);
     for (std::size_t i = 0; i < call.pieces.size(); ++i) {
         auto& piece = call.pieces[i];
-        auto result = end == BatchEnd::Answered ? results[i] : PieceResult(PieceFailure::Failed);
+        auto result = end == BatchOutcome::Answered ? results[i] : PieceResult(PieceFailure::Failed);
         if (auto* handle = std::get_if<ResultHandle>(&result))
             handle->service = m_impl->service;
         const auto* failure = std::get_if<PieceFailure>(&result);
-        const bool retryable = end == BatchEnd::NotRun || end == BatchEnd::Unreachable
-            || (failure != nullptr && *failure == PieceFailure::NoRoom);
+        const bool retryable = end == BatchOutcome::NotStarted || end == BatchOutcome::Unreachable
+            || (failure != nullptr && *failure == PieceFailure::NoCapacity);
         if (retryable)
             m_impl->requeue(std::move(piece), *failure, now, out);
         else
@@ -258,7 +258,7 @@
 {
     bool known = false;
     for (const auto& it : release.handles)
-        known = m_impl->capacity.release(release.maker.id, it, now) || known;
+        known = m_impl->capacity.release(release.producer.id, it, now) || known;
     if (known && !m_impl->waiting.empty())
         m_impl->capacityFreeAt = m_impl->capacity.nextFreeAt(now);
     return known;
@@ -272,14 +272,14 @@
     m_impl->capacityFreeAt = m_impl->waiting.empty() ? std::nullopt : m_impl->capacity.nextFreeAt(now);
 }
 
-std::optional<TimePoint> BatchQueue::nextPump() const
+std::optional<TimePoint> BatchQueue::nextDispatch() const
 {
     if (m_impl->waiting.empty() && m_impl->calls.empty())
         return std::nullopt;
     auto next = m_impl->lastCheckAt + checkPeriod;
     if (m_impl->waiting.empty())
         return next;
-    next = std::min(next, m_impl->calls.nextChange(m_impl->lastDispatchAt));
+    next = std::min(next, m_impl->calls.nextAvailabilityChange(m_impl->lastDispatchAt));
     if (m_impl->capacityFreeAt)
         next = std::min(next, *m_impl->capacityFreeAt);
     return next;
@@ -300,9 +300,9 @@
     const auto ahead = std::count_if(m_impl->waiting.begin(), m_impl->waiting.end(),
         [&](const WaitingPiece& it) { return late || (it.priority <= priority && !m_impl->isLate(it, now)); });
     const auto servers = m_impl->servers(now);
-    const bool busy = static_cast<double>(m_impl->calls.staying(now)) >= servers;
+    const bool busy = static_cast<double>(m_impl->calls.countNotEnding(now)) >= servers;
     // While all servers are busy, the expected time until the next one is free is a fraction of the call time.
-    const Duration untilFree = busy ? fromSeconds(toSeconds(m_impl->forecast.callTime(m_impl->limits.pieces))
+    const Duration untilFree = busy ? fromSeconds(toSeconds(m_impl->forecast.callTime(m_impl->limits.maxPieces))
                                    / static_cast<double>(1 + m_impl->calls.size()))
                                     : Duration {};
     return untilFree
--- a/src/foxtailwheel/serving/BatchQueueImpl.h
+++ b/src/foxtailwheel/serving/BatchQueueImpl.h
@@ -17,14 +17,14 @@
 /// @brief State of a batch queue. BatchPlacement.cpp defines the members that choose the pieces and the server of a
 /// call, BatchQueue.cpp all others.
 struct BatchQueue::Impl {
-    Impl(ServiceId s, config::BatchLimits l, routing::ServerPool& p, BatchQueueEvents e)
+    Impl(ServiceId s, config::BatchLimits l, routing::ServerPool& p, BatchQueueCallbacks e)
         : service(std::move(s))
         , limits(l)
         , pool(p)
         , callbacks(std::move(e))
         , forecast(l)
     {
-        capacity.setLimits(l.resultRoomBytes, l.resultLife);
+        capacity.setLimits(l.resultCapacityBytes, l.resultLifetime);
     }
 
     std::size_t maxCalls(TimePoint now) const;
@@ -53,13 +53,14 @@
     void hedgeSlowCalls(TimePoint now);
     void deliver(const WaitingPiece& piece, const PieceResult& result, std::vector<BatchAction>& out);
     void requeue(WaitingPiece piece, PieceFailure failure, TimePoint now, std::vector<BatchAction>& out);
-    void updateCapacity(const BatchCall& call, BatchEnd end, const std::vector<PieceResult>& results, TimePoint now);
-    routing::CallReport callReport(const BatchCall& call, BatchEnd end, TimePoint now) const;
+    void updateCapacity(
+        const BatchCall& call, BatchOutcome end, const std::vector<PieceResult>& results, TimePoint now);
+    routing::CallReport callReport(const BatchCall& call, BatchOutcome end, TimePoint now) const;
 
     ServiceId service;
     config::BatchLimits limits;
     routing::ServerPool& pool;
-    BatchQueueEvents callbacks;
+    BatchQueueCallbacks callbacks;
     BatchForecast forecast;
     ResultCapacity capacity;
     double slotShare = 1;
--- a/src/foxtailwheel/serving/BatchQueueTest.cpp
+++ b/src/foxtailwheel/serving/BatchQueueTest.cpp
@@ -33,7 +33,7 @@
         options.zone = AvailabilityZoneId(zones.front());
         pool = routing::ServerPool::create(service, {}, options);
         queue = std::make_unique<BatchQueue>(service.id, limits, *pool,
-            BatchQueueEvents { [this] { return CallId(++lastCall); },
+            BatchQueueCallbacks { [this] { return CallId(++lastCall); },
                 [this](std::size_t n, TimePoint) { return n <= retryBudget && (retryBudget -= n, true); } });
     }
 
@@ -50,7 +50,7 @@
     }
 
     /// Ends a call with a result for each piece.
-    void finishCall(const SendBatch& call, TimePoint now, BatchEnd end = BatchEnd::Answered)
+    void finishCall(const SendBatch& call, TimePoint now, BatchOutcome end = BatchOutcome::Answered)
     {
         std::vector<PieceResult> results;
         for (const auto& it : call.pieces)
@@ -186,7 +186,8 @@
     const auto call = fixture.sent.at(0);
     fixture.add(2, 1, start, 0, 2s, 8s, "b", 5'000'000);
     fixture.collect([&](auto& actions) {
-        fixture.queue->onCallEnd(call.call, BatchEnd::Answered, { PieceFailure::NoRoom }, start + 200ms, actions);
+        fixture.queue->onCallEnd(
+            call.call, BatchOutcome::Answered, { PieceFailure::NoCapacity }, start + 200ms, actions);
     });
     fixture.finishCall(fixture.sent[1], start + 201ms);
     cr_assert_eq(fixture.sent.size(), 3);
@@ -253,7 +254,7 @@
     ReleaseResults release { ServiceId("portal"), fixture.sent[0].server, { "r1/0", "r1/1" } };
     cr_assert(fixture.queue->onRelease(release, start + 310ms));
     cr_assert_eq(fixture.sent.size(), 1, "the release has not reached the server");
-    cr_assert_eq(*fixture.queue->nextPump(), start + 340ms);
+    cr_assert_eq(*fixture.queue->nextDispatch(), start + 340ms);
     fixture.dispatch(start + 340ms);
     cr_assert_eq(fixture.sent.size(), 2);
     cr_assert_eq(fixture.sent[1].pieces.size(), 2);
@@ -265,10 +266,10 @@
     fixture.add(1, 1, start);
     fixture.add(2, 3, start + 10ms);
     cr_assert_eq(fixture.sent.size(), 1);
-    cr_assert_eq(*fixture.queue->nextPump(), start + 100ms);
+    cr_assert_eq(*fixture.queue->nextDispatch(), start + 100ms);
     fixture.dispatch(start + 180ms);
     cr_assert_eq(fixture.sent.size(), 1);
-    cr_assert_eq(*fixture.queue->nextPump(), start + 192ms, "25 ms before the end of a call of 217 ms");
+    cr_assert_eq(*fixture.queue->nextDispatch(), start + 192ms, "25 ms before the end of a call of 217 ms");
     fixture.dispatch(start + 192ms);
     cr_assert_eq(fixture.sent.size(), 2);
     fixture.add(3, 1, start + 200ms);
@@ -278,7 +279,7 @@
 Test(BatchQueue, noCallIsQueuedAtAServerWithoutAQueue)
 {
     auto limits = tenPieces();
-    limits.queue = 0;
+    limits.queueCapacity = 0;
     QueueFixture fixture({ "a" }, limits);
     fixture.add(1, 1, start);
     fixture.add(2, 1, start + 200ms);
@@ -330,7 +331,7 @@
 {
     QueueFixture fixture({ "a" });
     fixture.add(1, 2, start);
-    fixture.finishCall(fixture.sent[0], start + 5ms, BatchEnd::NotRun);
+    fixture.finishCall(fixture.sent[0], start + 5ms, BatchOutcome::NotStarted);
     cr_assert_eq(fixture.done.size(), 0);
     fixture.dispatch(start + 80ms);
     cr_assert_eq(fixture.sent.size(), 2);
@@ -341,7 +342,7 @@
 {
     QueueFixture fixture({ "a" });
     fixture.add(1, 2, start);
-    fixture.finishCall(fixture.sent[0], start + 5ms, BatchEnd::Broken);
+    fixture.finishCall(fixture.sent[0], start + 5ms, BatchOutcome::Broken);
     cr_assert_eq(fixture.done.size(), 2);
     cr_assert_eq(std::get<PieceFailure>(fixture.done[0].result), PieceFailure::Failed);
 }
@@ -354,7 +355,7 @@
     fixture.dispatch(start + 150ms);
     cr_assert_gt(fixture.done.size(), 100);
     for (const auto& it : fixture.done)
-        cr_assert_eq(std::get<PieceFailure>(it.result), PieceFailure::Late);
+        cr_assert_eq(std::get<PieceFailure>(it.result), PieceFailure::DeadlineExceeded);
 }
 
 Test(BatchQueue, handoverKeepsPiecesOfCallsInProgress)
--- a/src/foxtailwheel/serving/CallsInProgress.cpp
+++ b/src/foxtailwheel/serving/CallsInProgress.cpp
@@ -23,7 +23,7 @@
     return endsAt() - now <= nextCallLeadTime && now - endsAt() <= maxOverdue;
 }
 
-std::optional<BatchCall> CallsInProgress::take(CallId id, TimePoint now)
+std::optional<BatchCall> CallsInProgress::remove(CallId id, TimePoint now)
 {
     const auto it = m_calls.find(id);
     if (it == m_calls.end())
@@ -32,7 +32,7 @@
     m_calls.erase(it);
     for (auto& other : m_calls) {
         if (other.second.server.id == call.server.id)
-            other.second.begunAt = now;
+            other.second.startsAt = now;
     }
     return call;
 }
@@ -43,19 +43,19 @@
     m_pausedUntil[server] = now + busyBackoff;
 }
 
-bool CallsInProgress::takesNext(const BackendServerId& server, const config::BatchLimits& limits, TimePoint now) const
+bool CallsInProgress::canSendTo(const BackendServerId& server, const config::BatchLimits& limits, TimePoint now) const
 {
     const auto paused = m_pausedUntil.find(server);
     if (paused != m_pausedUntil.end() && paused->second > now)
         return false;
     const auto occupied = std::count_if(m_calls.begin(), m_calls.end(), [&](const auto& it) {
-        const bool endsInTime = limits.queue > 0 && it.second.isEnding(now);
+        const bool endsInTime = limits.queueCapacity > 0 && it.second.isEnding(now);
         return it.second.server.id == server && !endsInTime;
     });
     return static_cast<std::size_t>(occupied) < limits.slots;
 }
 
-TimePoint CallsInProgress::freeAt(const BackendServerId& server, TimePoint now) const
+TimePoint CallsInProgress::nextStartTime(const BackendServerId& server, TimePoint now) const
 {
     auto free = now;
     for (const auto& it : m_calls) {
@@ -65,7 +65,7 @@
     return free;
 }
 
-std::vector<std::pair<config::BackendServer, TimePoint>> CallsInProgress::ends() const
+std::vector<std::pair<config::BackendServer, TimePoint>> CallsInProgress::lastEndTimes() const
 {
     std::map<BackendServerId, std::pair<config::BackendServer, TimePoint>> last;
     for (const auto& it : m_calls) {
@@ -79,13 +79,13 @@
     return out;
 }
 
-std::size_t CallsInProgress::staying(TimePoint now) const
+std::size_t CallsInProgress::countNotEnding(TimePoint now) const
 {
     return static_cast<std::size_t>(
         std::count_if(m_calls.begin(), m_calls.end(), [now](const auto& it) { return !it.second.isEnding(now); }));
 }
 
-TimePoint CallsInProgress::nextChange(TimePoint after) const
+TimePoint CallsInProgress::nextAvailabilityChange(TimePoint after) const
 {
     auto next = TimePoint::max();
     const auto consider = [&](TimePoint at) {
