--- a/src/foxtailwheel/serving/CallsInProgressTest.cpp
+++ b/src/foxtailwheel/serving/CallsInProgressTest.cpp
@@ -22,33 +22,33 @@
 Test(CallsInProgress, nextCallIsAllowedShortlyBeforeTheCurrentOneEnds)
 {
     CallsInProgress calls;
-    cr_assert(calls.takesNext(server.id, oneSlot, start));
+    cr_assert(calls.canSendTo(server.id, oneSlot, start));
     calls.add(CallId(1), call(start));
-    cr_assert(!calls.takesNext(server.id, oneSlot, start + 174ms));
-    cr_assert_eq(calls.nextChange(start), start + 175ms);
-    cr_assert(calls.takesNext(server.id, oneSlot, start + 175ms));
-    cr_assert_eq(calls.staying(start + 175ms), 0);
+    cr_assert(!calls.canSendTo(server.id, oneSlot, start + 174ms));
+    cr_assert_eq(calls.nextAvailabilityChange(start), start + 175ms);
+    cr_assert(calls.canSendTo(server.id, oneSlot, start + 175ms));
+    cr_assert_eq(calls.countNotEnding(start + 175ms), 0);
     cr_assert(
-        !calls.takesNext(server.id, oneSlot, start + 261ms), "nothing is sent behind a call that is long overdue");
+        !calls.canSendTo(server.id, oneSlot, start + 261ms), "nothing is sent behind a call that is long overdue");
 }
 
 Test(CallsInProgress, queuedCallStartsWhenThePreviousOneEnds)
 {
     CallsInProgress calls;
     calls.add(CallId(1), call(start));
-    cr_assert_eq(calls.freeAt(server.id, start + 180ms), start + 200ms);
-    calls.add(CallId(2), call(calls.freeAt(server.id, start + 180ms)));
-    cr_assert_eq(calls.ends().at(0).second, start + 400ms);
-    cr_assert(calls.take(CallId(1), start + 230ms));
-    cr_assert_eq(calls.ends().at(0).second, start + 430ms);
-    cr_assert(!calls.take(CallId(1), start + 230ms));
+    cr_assert_eq(calls.nextStartTime(server.id, start + 180ms), start + 200ms);
+    calls.add(CallId(2), call(calls.nextStartTime(server.id, start + 180ms)));
+    cr_assert_eq(calls.lastEndTimes().at(0).second, start + 400ms);
+    cr_assert(calls.remove(CallId(1), start + 230ms));
+    cr_assert_eq(calls.lastEndTimes().at(0).second, start + 430ms);
+    cr_assert(!calls.remove(CallId(1), start + 230ms));
 }
 
 Test(CallsInProgress, serverThatDidNotStartACallIsPaused)
 {
     CallsInProgress calls;
     calls.pause(server.id, start);
-    cr_assert(!calls.takesNext(server.id, oneSlot, start + 59ms));
-    cr_assert_eq(calls.nextChange(start), start + 60ms);
-    cr_assert(calls.takesNext(server.id, oneSlot, start + 60ms));
+    cr_assert(!calls.canSendTo(server.id, oneSlot, start + 59ms));
+    cr_assert_eq(calls.nextAvailabilityChange(start), start + 60ms);
+    cr_assert(calls.canSendTo(server.id, oneSlot, start + 60ms));
 }
--- a/src/foxtailwheel/serving/Catalog.cpp
+++ b/src/foxtailwheel/serving/ConfigSnapshot.cpp
@@ -1,12 +1,12 @@
-#include "foxtailwheel/serving/Catalog.h"
+#include "foxtailwheel/serving/ConfigSnapshot.h"
 
 namespace foxtailwheel::serving {
 
-std::shared_ptr<const Catalog> makeCatalog(ConfigVersion version,
-    std::shared_ptr<const config::Declarations> declarations, const Catalog* previous,
+std::shared_ptr<const ConfigSnapshot> makeConfigSnapshot(ConfigVersion version,
+    std::shared_ptr<const config::Declarations> declarations, const ConfigSnapshot* previous,
     const routing::PoolOptions& options)
 {
-    auto snapshot = std::make_shared<Catalog>();
+    auto snapshot = std::make_shared<ConfigSnapshot>();
     snapshot->version = version;
     snapshot->declarations = std::move(declarations);
     for (const auto& it : snapshot->declarations->pipelines) {
--- a/src/foxtailwheel/serving/Dispatcher.cpp
+++ b/src/foxtailwheel/serving/Dispatcher.cpp
@@ -1,6 +1,6 @@
 #include "foxtailwheel/serving/Dispatcher.h"
 
-#include "PoolPolicy.h"
+#include "PoolRunPolicy.h"
 #include "foxtailwheel/base/Hash.h"
 #include "foxtailwheel/serving/Admission.h"
 
@@ -46,8 +46,8 @@
         pipeline::Run run;
         SubmitRequest request;
         std::string bodyHash;
-        std::shared_ptr<const Catalog> catalog;
-        std::vector<limits::SlotHold> reservations;
+        std::shared_ptr<const ConfigSnapshot> snapshot;
+        std::vector<limits::SlotReservation> reservations;
         std::map<AttemptId, PlacedCall> calls;
         std::map<StageIndex, std::vector<BackendServerId>> triedServers;
         std::map<StageIndex, StageCost> costs;
@@ -69,18 +69,18 @@
         explicit ShardedDispatcher(DispatcherOptions options)
             : m_options(std::move(options))
             , m_shards(m_options.shards)
-            , m_policy([this] { return catalog(); }, m_options.hedging, m_options.extraShare)
+            , m_policy([this] { return snapshot(); }, m_options.hedging, m_options.retryBudgetFraction)
             , m_admission(Admission::create(m_options.maxQueued))
             , m_nextRunId(hashOf(m_options.pools.self.value(), m_options.pools.seed) << 20U)
         {
         }
 
         bool configure(ConfigVersion version, std::shared_ptr<const config::Declarations> declarations) override;
-        std::shared_ptr<const Catalog> catalog() const override;
-        void setInstances(std::size_t n) override;
-        void setLeaving(const std::set<BackendServerId>& leaving) override;
+        std::shared_ptr<const ConfigSnapshot> snapshot() const override;
+        void setInstanceCount(std::size_t n) override;
+        void setLeavingServers(const std::set<BackendServerId>& leaving) override;
         void stopAccepting() override { m_accepting = false; }
-        RunId newRun() override { return RunId(m_nextRunId++); }
+        RunId allocateRunId() override { return RunId(m_nextRunId++); }
         void submit(RunId id, SubmitRequest request, TimePoint now, Actions& out) override;
         void onSent(const AttemptId& id, TimePoint now) override;
         void onTokens(const AttemptId& id, std::uint64_t offset, const std::vector<std::string>& tokens, TimePoint now,
@@ -91,13 +91,13 @@
         void onClaim(
             RunId run, StageIndex stage, const pipeline::ClaimResult& result, TimePoint now, Actions& out) override;
         void onTimer(const pipeline::TimerId& id, TimePoint now, Actions& out) override;
-        void onCallerLeft(RunId run, TimePoint now, Actions& out) override;
+        void onCallerDisconnected(RunId run, TimePoint now, Actions& out) override;
         void onLoadReport(
             const ServiceId& service, const BackendServerId& server, const routing::LoadReport& report) override;
         void onCacheEvent(
             const ServiceId& service, const BackendServerId& server, const routing::CacheEvent& event) override;
         std::vector<limits::AccountDemand> drainDemand(TimePoint now) override;
-        void setAllowance(const ClientAccountId& account, double perSecond, TimePoint now) override;
+        void setRateShare(const ClientAccountId& account, double perSecond, TimePoint now) override;
         DispatcherStatus status() const override;
 
     private:
@@ -117,7 +117,7 @@
         void cancelCall(RunEntry& entry, const pipeline::CancelCall& cancel, TimePoint now, Actions& out);
         void sendReply(RunEntry& entry, pipeline::Outcome outcome, Actions& out);
         void onCallEnded(
-            RunEntry& entry, const AttemptId& id, routing::CallSign callOutcome, bool resultUsed, TimePoint now);
+            RunEntry& entry, const AttemptId& id, routing::CallOutcome callOutcome, bool resultUsed, TimePoint now);
         static double borrowedShare(double busyShare);
         void refreshLimits(TimePoint now);
         void startQueuedRuns(TimePoint now, Actions& out);
@@ -147,10 +147,10 @@
 
         DispatcherOptions m_options;
         std::vector<Shard> m_shards;
-        mutable std::shared_mutex m_catalogMutex;
-        std::shared_ptr<const Catalog> m_catalog;
+        mutable std::shared_mutex m_snapshotMutex;
+        std::shared_ptr<const ConfigSnapshot> m_snapshot;
         std::set<BackendServerId> m_leaving;
-        PoolPolicy m_policy;
+        PoolRunPolicy m_policy;
         std::mutex m_rateMutex;
         limits::RateLimiter m_rates;
         std::unique_ptr<Admission> m_admission;
@@ -164,49 +164,49 @@
 
     bool ShardedDispatcher::configure(ConfigVersion version, std::shared_ptr<const config::Declarations> declarations)
     {
-        const std::unique_lock lock(m_catalogMutex);
-        if (m_catalog && version <= m_catalog->version)
+        const std::unique_lock lock(m_snapshotMutex);
+        if (m_snapshot && version <= m_snapshot->version)
             return false;
-        m_catalog = makeCatalog(version, std::move(declarations), m_catalog.get(), m_options.pools);
-        for (const auto& it : m_catalog->pools)
+        m_snapshot = makeConfigSnapshot(version, std::move(declarations), m_snapshot.get(), m_options.pools);
+        for (const auto& it : m_snapshot->pools)
             it.second->setLeaving(m_leaving);
         m_limitsRefreshedAt = 0;
         return true;
     }
 
-    std::shared_ptr<const Catalog> ShardedDispatcher::catalog() const
+    std::shared_ptr<const ConfigSnapshot> ShardedDispatcher::snapshot() const
     {
-        const std::shared_lock lock(m_catalogMutex);
-        return m_catalog;
+        const std::shared_lock lock(m_snapshotMutex);
+        return m_snapshot;
     }
 
-    void ShardedDispatcher::setInstances(std::size_t n)
+    void ShardedDispatcher::setInstanceCount(std::size_t n)
     {
         m_instances = std::max<std::size_t>(1, n);
         m_limitsRefreshedAt = 0;
         const std::lock_guard lock(m_rateMutex);
-        m_rates.setInstances(m_instances);
+        m_rates.setInstanceCount(m_instances);
     }
 
-    void ShardedDispatcher::setLeaving(const std::set<BackendServerId>& leaving)
+    void ShardedDispatcher::setLeavingServers(const std::set<BackendServerId>& leaving)
     {
-        const std::unique_lock lock(m_catalogMutex);
+        const std::unique_lock lock(m_snapshotMutex);
         if (m_leaving == leaving)
             return;
         m_leaving = leaving;
-        if (!m_catalog)
+        if (!m_snapshot)
             return;
-        for (const auto& it : m_catalog->pools)
+        for (const auto& it : m_snapshot->pools)
             it.second->setLeaving(m_leaving);
     }
 
     std::shared_ptr<routing::ServerPool> ShardedDispatcher::poolOf(const ServiceId& service) const
     {
-        const std::shared_lock lock(m_catalogMutex);
-        if (!m_catalog)
+        const std::shared_lock lock(m_snapshotMutex);
+        if (!m_snapshot)
             return nullptr;
-        const auto it = m_catalog->pools.find(service);
-        return it == m_catalog->pools.end() ? nullptr : it->second;
+        const auto it = m_snapshot->pools.find(service);
+        return it == m_snapshot->pools.end() ? nullptr : it->second;
     }
 
     Reason ShardedDispatcher::validate(const SubmitRequest& request, Duration timeLimit, const pipeline::Plan& plan,
@@ -214,13 +214,13 @@
     {
         if (!m_accepting)
             return Reason::ShuttingDown;
-        if (plan.hasEffect() && !request.key)
+        if (plan.hasSideEffects() && !request.key)
             return Reason::KeyMissing;
-        const auto current = catalog();
+        const auto current = snapshot();
         const auto account = current->accounts.find(request.account);
         if (account != current->accounts.end() && account->second->ratePerSecond > 0) {
             const std::lock_guard lock(m_rateMutex);
-            retryAfter = m_rates.take(request.account, account->second->ratePerSecond, now);
+            retryAfter = m_rates.tryAcquire(request.account, account->second->ratePerSecond, now);
             if (retryAfter > Duration {})
                 return Reason::RateLimited;
         }
@@ -245,10 +245,10 @@
         for (const auto& it : plan.stages) {
             const double seconds = toSeconds(it.typicalTime);
             request.reservations.push_back({ it.service, seconds / typicalPath });
-            const auto& servers = entry.catalog->declarations->findService(it.service)->servers;
+            const auto& servers = entry.snapshot->declarations->findService(it.service)->servers;
             const double load = seconds
                 / static_cast<double>(
-                    servers.size() * entry.catalog->declarations->findService(it.service)->concurrency);
+                    servers.size() * entry.snapshot->declarations->findService(it.service)->concurrency);
             if (load <= highestLoad)
                 continue;
             highestLoad = load;
@@ -260,22 +260,22 @@
 
     void ShardedDispatcher::submit(RunId id, SubmitRequest request, TimePoint now, Actions& out)
     {
-        const auto current = catalog();
+        const auto current = snapshot();
         const auto& plan = current->plans.at(request.pipeline);
         const auto timeLimit
-            = request.timeLimit > Duration {} ? std::min(request.timeLimit, plan->deadline) : plan->deadline;
+            = request.timeout > Duration {} ? std::min(request.timeout, plan->deadline) : plan->deadline;
         Duration retryAfter {};
         const auto reason = validate(request, timeLimit, *plan, now, retryAfter);
         pipeline::RunRequest run { id, plan, request.body, now + timeLimit, request.stream };
         auto entry = std::make_unique<RunEntry>(std::move(run), m_policy);
         entry->request = std::move(request);
-        entry->catalog = current;
+        entry->snapshot = current;
         entry->submittedAt = now;
         if (reason != Reason::None) {
             rejectRun(*entry, reason, retryAfter, out);
             return;
         }
-        if (plan->hasEffect())
+        if (plan->hasSideEffects())
             entry->bodyHash = sha256Hex(*entry->request.body);
         {
             auto& shard = shardOf(id);
@@ -355,10 +355,10 @@
         else if (const auto* timer = std::get_if<pipeline::SetTimer>(&action))
             out.push_back(*timer);
         else if (const auto* claim = std::get_if<pipeline::InsertClaim>(&action))
-            out.push_back(
-                ClaimCall { claim->run, claim->stage, claimKeyFor(claim->service), entry.bodyHash, claim->deadline });
+            out.push_back(AcquireClaim {
+                claim->run, claim->stage, claimKeyFor(claim->service), entry.bodyHash, claim->deadline });
         else if (auto* record = std::get_if<pipeline::RecordClaim>(&action))
-            out.push_back(EndClaim {
+            out.push_back(CompleteClaim {
                 record->run, record->stage, claimKeyFor(record->service), record->outcome, std::move(record->answer) });
         else if (auto* emit = std::get_if<pipeline::EmitTokens>(&action))
             out.push_back(std::move(*emit));
@@ -374,15 +374,15 @@
         if (stage.kind == config::ServiceKind::ModelEngine)
             placementRequest.prefix = entry.request.prefix;
         placementRequest.avoid = entry.triedServers[call.id.stage];
-        placementRequest.careful = !stage.idempotent;
-        const auto placement = entry.catalog->pools.at(stage.service)->place(placementRequest, now);
+        placementRequest.healthyOnly = !stage.idempotent;
+        const auto placement = entry.snapshot->pools.at(stage.service)->place(placementRequest, now);
         if (!placement) {
             entry.run.onFailure(call.id, CallFailure::NotSent, now, followUps);
             return;
         }
         entry.triedServers[call.id.stage].push_back(placement->server.id);
         auto& cost = entry.costs[call.id.stage];
-        const auto price = entry.catalog->declarations->findService(stage.service)->price;
+        const auto price = entry.snapshot->declarations->findService(stage.service)->price;
         cost.service = stage.service;
         ++cost.attempts;
         cost.calls += price;
@@ -391,8 +391,8 @@
         cost.crossZone += placement->crossesZone ? 1 : 0;
         entry.calls.emplace(call.id,
             PlacedCall { placement->server.id, stage.service, now, price, placement->linkCost, stage.idempotent });
-        if (!call.isExtra)
-            m_policy.earn(m_admission->utilization(stage.service));
+        if (!call.isRetryOrHedge)
+            m_policy.recordFirstAttempt(m_admission->utilization(stage.service));
         std::string key;
         if (!stage.idempotent)
             key = entry.request.account.value() + "/" + stage.service.value() + "/" + entry.request.key->value();
@@ -406,7 +406,7 @@
         if (it == entry.calls.end())
             return;
         out.push_back(StopCall { cancel.id, it->second.server });
-        entry.catalog->pools.at(it->second.service)->cancelled(it->second.server, now - it->second.sentAt, now);
+        entry.snapshot->pools.at(it->second.service)->onCallCancelled(it->second.server, now - it->second.sentAt, now);
         entry.calls.erase(it);
     }
 
@@ -415,7 +415,7 @@
         const bool answered = outcome.kind == pipeline::OutcomeKind::Answered;
         Reply reply { entry.run.request().id, entry.request.account, std::move(outcome), {}, entry.run.counters(), {} };
         if (entry.started)
-            reply.waited = entry.startedAt - entry.submittedAt;
+            reply.queueTime = entry.startedAt - entry.submittedAt;
         for (auto& it : entry.costs) {
             auto cost = it.second;
             if (!answered)
@@ -427,13 +427,13 @@
     }
 
     void ShardedDispatcher::onCallEnded(
-        RunEntry& entry, const AttemptId& id, routing::CallSign callOutcome, bool resultUsed, TimePoint now)
+        RunEntry& entry, const AttemptId& id, routing::CallOutcome callOutcome, bool resultUsed, TimePoint now)
     {
         const auto it = entry.calls.find(id);
         if (it == entry.calls.end())
             return;
         const auto& call = it->second;
-        entry.catalog->pools.at(call.service)->ended(call.server, { callOutcome, now - call.sentAt, {} }, now);
+        entry.snapshot->pools.at(call.service)->onCallEnded(call.server, { callOutcome, now - call.sentAt, {} }, now);
         if (resultUsed) {
             auto& wasted = entry.costs[id.stage].wasted;
             wasted.microCredits -= call.callCost.microCredits + call.linkCost.microCredits;
@@ -470,10 +470,10 @@
             return;
         if (!m_limitsRefreshedAt.compare_exchange_strong(at, std::max<std::int64_t>(1, ticks)))
             return;
-        for (const auto& it : catalog()->pools) {
-            const double share = it.second->slots(now) / static_cast<double>(m_instances);
+        for (const auto& it : snapshot()->pools) {
+            const double share = it.second->usableSlots(now) / static_cast<double>(m_instances);
             m_admission->setSlotLimit(
-                it.first, std::max(1.0, share * (m_options.overcommit + borrowedShare(it.second->busyShare()))));
+                it.first, std::max(1.0, share * (m_options.overcommit + borrowedShare(it.second->utilization()))));
         }
     }
 
@@ -525,7 +525,7 @@
     void ShardedDispatcher::onStreamEnd(const AttemptId& id, std::uint64_t total, TimePoint now, Actions& out)
     {
         handleEvent(id.run, true, now, out, [&](RunEntry& entry, pipeline::Actions& actions) {
-            onCallEnded(entry, id, routing::CallSign::Good, true, now);
+            onCallEnded(entry, id, routing::CallOutcome::Success, true, now);
             entry.run.onStreamEnd(id, total, now, actions);
         });
     }
@@ -533,20 +533,20 @@
     void ShardedDispatcher::onAnswer(const AttemptId& id, pipeline::Payload body, TimePoint now, Actions& out)
     {
         handleEvent(id.run, true, now, out, [&](RunEntry& entry, pipeline::Actions& actions) {
-            onCallEnded(entry, id, routing::CallSign::Good, true, now);
+            onCallEnded(entry, id, routing::CallOutcome::Success, true, now);
             entry.run.onAnswer(id, std::move(body), now, actions);
         });
     }
 
     void ShardedDispatcher::onFailure(const AttemptId& id, CallFailure failure, TimePoint now, Actions& out)
     {
-        routing::CallSign callOutcome = routing::CallSign::Broken;
+        routing::CallOutcome callOutcome = routing::CallOutcome::Failed;
         if (failure == CallFailure::NotSent)
-            callOutcome = routing::CallSign::Unreachable;
+            callOutcome = routing::CallOutcome::Unreachable;
         else if (failure == CallFailure::Refused)
-            callOutcome = routing::CallSign::Busy;
-        else if (failure == CallFailure::Rejected)
-            callOutcome = routing::CallSign::Good;
+            callOutcome = routing::CallOutcome::Rejected;
+        else if (failure == CallFailure::InvalidRequest)
+            callOutcome = routing::CallOutcome::Success;
         handleEvent(id.run, true, now, out, [&](RunEntry& entry, pipeline::Actions& actions) {
             onCallEnded(entry, id, callOutcome, false, now);
             entry.run.onFailure(id, failure, now, actions);
@@ -572,7 +572,7 @@
         });
     }
 
-    void ShardedDispatcher::onCallerLeft(RunId run, TimePoint now, Actions& out)
+    void ShardedDispatcher::onCallerDisconnected(RunId run, TimePoint now, Actions& out)
     {
         handleEvent(run, false, now, out, [&](RunEntry& entry, pipeline::Actions& actions) {
             if (entry.started)
@@ -586,14 +586,14 @@
         const ServiceId& service, const BackendServerId& server, const routing::LoadReport& report)
     {
         if (const auto pool = poolOf(service))
-            pool->reported(server, report);
+            pool->onLoadReport(server, report);
     }
 
     void ShardedDispatcher::onCacheEvent(
         const ServiceId& service, const BackendServerId& server, const routing::CacheEvent& event)
     {
         if (const auto pool = poolOf(service))
-            pool->cacheEvent(server, event);
+            pool->onCacheEvent(server, event);
     }
 
     std::vector<limits::AccountDemand> ShardedDispatcher::drainDemand(TimePoint now)
@@ -602,10 +602,10 @@
         return m_rates.drainDemand(now);
     }
 
-    void ShardedDispatcher::setAllowance(const ClientAccountId& account, double perSecond, TimePoint now)
+    void ShardedDispatcher::setRateShare(const ClientAccountId& account, double perSecond, TimePoint now)
     {
         const std::lock_guard lock(m_rateMutex);
-        m_rates.setAllowance(account, perSecond, now);
+        m_rates.setShare(account, perSecond, now);
     }
 
     DispatcherStatus ShardedDispatcher::status() const
@@ -616,7 +616,7 @@
             status.runs += it.runs.size();
         }
         status.queued = m_admission->queuedCount();
-        status.strayResults = m_unmatchedResults;
+        status.unmatchedResults = m_unmatchedResults;
         return status;
     }
 
--- a/src/foxtailwheel/serving/DispatcherTest.cpp
+++ b/src/foxtailwheel/serving/DispatcherTest.cpp
@@ -1,6 +1,6 @@
 #include "foxtailwheel/serving/Dispatcher.h"
 
-#include "foxtailwheel/testing/Declared.h"
+#include "foxtailwheel/testing/TestDeclarations.h"
 
 #include <criterion/criterion.h>
 #include <deque>
@@ -29,8 +29,8 @@
         serving::SubmitRequest request;
         request.pipeline = PipelineId("answer");
         request.account = ClientAccountId("coop");
-        request.body = pipeline::payloadOf("{}");
-        dispatcher->submit(dispatcher->newRun(), std::move(request), start, actions);
+        request.body = pipeline::makePayload("{}");
+        dispatcher->submit(dispatcher->allocateRunId(), std::move(request), start, actions);
     }
     std::size_t answered = 0;
     std::deque<serving::Action> pending(actions.begin(), actions.end());
@@ -41,11 +41,11 @@
         if (const auto* call = std::get_if<serving::SendCall>(&action)) {
             const auto id = call->call.id;
             if (failing.contains(call->server.id))
-                dispatcher->onFailure(id, pipeline::CallFailure::Broken, start, followUps);
+                dispatcher->onFailure(id, pipeline::CallFailure::ConnectionLost, start, followUps);
             else if (call->call.stage->kind == config::ServiceKind::ModelEngine)
                 dispatcher->onStreamEnd(id, 0, start, followUps);
             else
-                dispatcher->onAnswer(id, pipeline::payloadOf("1"), start, followUps);
+                dispatcher->onAnswer(id, pipeline::makePayload("1"), start, followUps);
         } else if (const auto* reply = std::get_if<serving::Reply>(&action)) {
             answered += reply->outcome.kind == pipeline::OutcomeKind::Answered ? 1 : 0;
         }
--- a/src/foxtailwheel/serving/ForwardCalls.cpp
+++ b/src/foxtailwheel/serving/ForwardCalls.cpp
@@ -39,13 +39,13 @@
     const auto& prompt = run.request.prompt;
     if (m_options.affinity && run.route->prefixAffinity && !prompt.empty())
         return prompt[prompt.size() > 1 ? prompt.size() - 2 : 0].id;
-    return run.stages.empty() ? std::nullopt : std::optional(hashOf(run.request.name));
+    return run.stages.empty() ? std::nullopt : std::optional(hashOf(run.request.attemptId));
 }
 
 void RoutingForwarder::sendRequest(ForwardRun& run, TimePoint now, ForwardActions& out)
 {
     if (run.remainingTime(now) < minRemainingTimeToSend) {
-        fail(run, run.mayHaveRun ? ForwardEnd::TimedOut : ForwardEnd::TimedOutWaiting, now, out);
+        fail(run, run.mayHaveRun ? ForwardOutcome::TimedOut : ForwardOutcome::TimedOutWaiting, now, out);
         return;
     }
     if (!trySend(run, !run.triedServers.empty(), now, out))
@@ -60,14 +60,14 @@
         return false;
     routing::PlacementRequest placementRequest;
     placementRequest.avoid = run.triedServers;
-    placementRequest.careful = !run.idempotent();
-    placementRequest.affinity = affinityOf(run);
-    placementRequest.zone = run.homeZone;
+    placementRequest.healthyOnly = !run.idempotent();
+    placementRequest.affinityKey = affinityOf(run);
+    placementRequest.preferredZone = run.homeZone;
     const auto placement = state->pool->place(placementRequest, now);
     if (!placement)
         return false;
     if (!std::exchange(run.retryBudgetCredited, true))
-        state->retryBudget.earn(now);
+        state->retryBudget.onFirstCall(now);
     const auto call = allocateCallId();
     const auto& server = placement->server;
     run.calls.push_back({ call, server.id, now, false });
@@ -75,17 +75,18 @@
     ++run.possibleExecutions;
     run.mayHaveRun = true;
     m_calls[call] = run.id;
-    SendForward send { call, run.id, server, run.request.message, run.request.name, run.account, run.remainingTime(now),
-        run.priority, run.inputs(), run.lastEventId, run.route->streams, run.idempotent(), run.deadline };
+    SendUpstreamRequest send { call, run.id, server, run.request.message, run.request.attemptId, run.account,
+        run.remainingTime(now), run.priority, run.inputs(), run.lastEventId, run.route->streaming, run.idempotent(),
+        run.deadline };
     logDecision(run, "request_sent",
         { { "call", std::to_string(call.value()) }, { "server", server.id.value() }, { "again", retry ? "1" : "0" },
             { "after_ms", formatInteger(toMilliseconds(now - run.acceptedAt)) },
-            { "expected_ms", formatInteger(toMilliseconds(placement->expected)) } });
+            { "expected_ms", formatInteger(toMilliseconds(placement->expectedTime)) } });
     out.emplace_back(std::move(send));
     if (run.idempotent() && m_options.hedging) {
-        const auto goal = toSeconds(run.route->goal);
-        const auto delay = run.route->streams ? std::max(minFailoverDelay, fromSeconds(goal * failoverDelayShare))
-                                              : fromSeconds(goal * hedgeDelayShare);
+        const auto goal = toSeconds(run.route->latencyTarget);
+        const auto delay = run.route->streaming ? std::max(minFailoverDelay, fromSeconds(goal * failoverDelayShare))
+                                                : fromSeconds(goal * hedgeDelayShare);
         setTimer(now + delay, { TimerKind::Hedge, run.id, call, {} });
     }
     return true;
@@ -94,16 +95,16 @@
 /// Removes a call from the run and reports its outcome to the server pool.
 /// @param stop Cancels the call as well.
 void RoutingForwarder::closeCall(
-    ForwardRun& run, CallId call, routing::CallSign outcome, bool stop, TimePoint now, ForwardActions& out)
+    ForwardRun& run, CallId call, routing::CallOutcome outcome, bool stop, TimePoint now, ForwardActions& out)
 {
     const auto it
         = std::find_if(run.calls.begin(), run.calls.end(), [call](const OpenCall& c) { return c.id == call; });
     if (it == run.calls.end())
         return;
     if (auto* state = m_directory.find(run.service))
-        state->pool->ended(it->server, { outcome, now - it->sentAt, {} }, now);
+        state->pool->onCallEnded(it->server, { outcome, now - it->sentAt, {} }, now);
     if (stop)
-        out.emplace_back(StopForward { call });
+        out.emplace_back(CancelUpstreamRequest { call });
     m_calls.erase(call);
     run.calls.erase(it);
 }
@@ -112,7 +113,7 @@
 Duration RoutingForwarder::usualTimeToFirstByte(const ForwardRun& run) const
 {
     const auto it = m_timesToFirstByte.find(run.route->name);
-    return it == m_timesToFirstByte.end() ? initialTimeToFirstByte : it->second.usual();
+    return it == m_timesToFirstByte.end() ? initialTimeToFirstByte : it->second.meanPlusDeviation();
 }
 
 /// Returns true if a server has been silent for so long that the call counts as failed, although the caller ended it.
@@ -128,7 +129,7 @@
     it->second.add(now - call.sentAt);
 }
 
-void RoutingForwarder::onHead(CallId call, http::Response head, TimePoint now, ForwardActions& out)
+void RoutingForwarder::onResponseHead(CallId call, http::Response head, TimePoint now, ForwardActions& out)
 {
     auto* run = findRunOfCall(call);
     if (run == nullptr)
@@ -140,18 +141,18 @@
     // The first event proves that the server has read its inputs.
     for (StageIndex i = 0; i < run->stages.size(); ++i)
         releaseStage(*run, i, now, out);
-    if (!run->route->streams)
+    if (!run->route->streaming)
         return;
     logDecision(*run, "stream_began",
         { { "call", std::to_string(call.value()) },
             { "after_ms", formatInteger(toMilliseconds(now - run->acceptedAt)) } });
     if (!std::exchange(run->headSent, true))
-        out.emplace_back(ReplyHead { run->id, std::move(head) });
+        out.emplace_back(SendResponseHead { run->id, std::move(head) });
     if (run->idempotent() && m_options.hedging)
         setTimer(now + streamSilenceTimeout, { TimerKind::StreamSilence, run->id, call, {} });
 }
 
-void RoutingForwarder::onData(CallId call, std::string_view bytes, TimePoint now, ForwardActions& out)
+void RoutingForwarder::onResponseData(CallId call, std::string_view bytes, TimePoint now, ForwardActions& out)
 {
     auto* run = findRunOfCall(call);
     if (run == nullptr || !run->headSent)
@@ -167,83 +168,85 @@
         forwarded += event.bytes;
     }
     if (!forwarded.empty())
-        out.emplace_back(ReplyBytes { run->id, std::move(forwarded) });
+        out.emplace_back(SendResponseData { run->id, std::move(forwarded) });
 }
 
-void RoutingForwarder::onEnd(
-    CallId call, ForwardCallEnd outcome, http::Response response, TimePoint now, ForwardActions& out)
+void RoutingForwarder::onCallEnd(
+    CallId call, ForwardCallOutcome outcome, http::Response response, TimePoint now, ForwardActions& out)
 {
     auto* run = findRunOfCall(call);
     if (run == nullptr)
         return;
     const bool headReceived = run->findCall(call)->headReceived;
-    if (outcome != ForwardCallEnd::Complete)
+    if (outcome != ForwardCallOutcome::Complete)
         logDecision(*run, "call_failed",
             { { "call", std::to_string(call.value()) }, { "end", std::string(toString(outcome)) },
                 { "status", std::to_string(response.status) },
                 { "after_ms", formatInteger(toMilliseconds(now - run->acceptedAt)) } });
     switch (outcome) {
-    case ForwardCallEnd::Complete:
-        closeCall(
-            *run, call, response.status >= 500 ? routing::CallSign::Broken : routing::CallSign::Good, false, now, out);
-        if (run->route->streams && headReceived)
-            finishStream(
-                *run, run->eventSplitter.hasPartialEvent() ? ForwardEnd::StreamBroken : ForwardEnd::Answered, now, out);
+    case ForwardCallOutcome::Complete:
+        closeCall(*run, call, response.status >= 500 ? routing::CallOutcome::Failed : routing::CallOutcome::Success,
+            false, now, out);
+        if (run->route->streaming && headReceived)
+            finishStream(*run,
+                run->eventSplitter.hasPartialEvent() ? ForwardOutcome::StreamBroken : ForwardOutcome::Answered, now,
+                out);
         else
             onResponseComplete(*run, std::move(response), now, out);
         return;
-    case ForwardCallEnd::NotSent:
-    case ForwardCallEnd::Misdirected:
-        closeCall(*run, call, routing::CallSign::Unreachable, false, now, out);
+    case ForwardCallOutcome::NotSent:
+    case ForwardCallOutcome::Misdirected:
+        closeCall(*run, call, routing::CallOutcome::Unreachable, false, now, out);
         onCallNotRun(*run, outcome, now, out);
         return;
-    case ForwardCallEnd::Refused:
-        closeCall(*run, call, routing::CallSign::Busy, false, now, out);
+    case ForwardCallOutcome::Refused:
+        closeCall(*run, call, routing::CallOutcome::Rejected, false, now, out);
         onCallNotRun(*run, outcome, now, out);
         return;
-    case ForwardCallEnd::InputGone:
-        closeCall(*run, call, routing::CallSign::Good, false, now, out);
+    case ForwardCallOutcome::InputMissing:
+        closeCall(*run, call, routing::CallOutcome::Success, false, now, out);
         onCallNotRun(*run, outcome, now, out);
         return;
-    case ForwardCallEnd::Broken:
-    case ForwardCallEnd::TimedOut:
-        closeCall(*run, call, routing::CallSign::Broken, false, now, out);
+    case ForwardCallOutcome::Broken:
+    case ForwardCallOutcome::TimedOut:
+        closeCall(*run, call, routing::CallOutcome::Failed, false, now, out);
         onCallBroken(*run, outcome, now, out);
         return;
     }
 }
 
 /// The call definitely did not run, so the request may be sent to another server even if it is not idempotent.
-void RoutingForwarder::onCallNotRun(ForwardRun& run, ForwardCallEnd outcome, TimePoint now, ForwardActions& out)
+void RoutingForwarder::onCallNotRun(ForwardRun& run, ForwardCallOutcome outcome, TimePoint now, ForwardActions& out)
 {
     --run.possibleExecutions;
     run.mayHaveRun = run.possibleExecutions > 0;
     if (!run.calls.empty())
         return;
-    if (outcome == ForwardCallEnd::InputGone) {
+    if (outcome == ForwardCallOutcome::InputMissing) {
         run.triedServers.clear();
         restartStages(run, now, out);
         return;
     }
     auto* state = m_directory.find(run.service);
-    const bool reachedServer = outcome != ForwardCallEnd::NotSent;
-    if (++run.unexecutedCalls > maxUnexecutedCalls || (reachedServer && !state->retryBudget.take(1, now))) {
-        fail(run, run.mayHaveRun ? ForwardEnd::BackendFailed : ForwardEnd::NotStarted, now, out);
+    const bool reachedServer = outcome != ForwardCallOutcome::NotSent;
+    if (++run.unexecutedCalls > maxUnexecutedCalls || (reachedServer && !state->retryBudget.tryAcquire(1, now))) {
+        fail(run, run.mayHaveRun ? ForwardOutcome::BackendFailed : ForwardOutcome::NotStarted, now, out);
         return;
     }
     sendRequest(run, now, out);
 }
 
 /// The call may have run, so only idempotent requests are sent to another server.
-void RoutingForwarder::onCallBroken(ForwardRun& run, ForwardCallEnd outcome, TimePoint now, ForwardActions& out)
+void RoutingForwarder::onCallBroken(ForwardRun& run, ForwardCallOutcome outcome, TimePoint now, ForwardActions& out)
 {
     if (!run.calls.empty())
         return;
-    const auto failure = outcome == ForwardCallEnd::TimedOut ? ForwardEnd::TimedOut : ForwardEnd::BackendFailed;
+    const auto failure
+        = outcome == ForwardCallOutcome::TimedOut ? ForwardOutcome::TimedOut : ForwardOutcome::BackendFailed;
     auto* state = m_directory.find(run.service);
-    const bool allowed = run.idempotent() && run.possibleExecutions < run.route->maxServers;
-    if (!allowed || !state->retryBudget.take(1, now)) {
-        fail(run, run.headSent ? ForwardEnd::StreamBroken : failure, now, out);
+    const bool allowed = run.idempotent() && run.possibleExecutions < run.route->maxCallsPerRequest;
+    if (!allowed || !state->retryBudget.tryAcquire(1, now)) {
+        fail(run, run.headSent ? ForwardOutcome::StreamBroken : failure, now, out);
         return;
     }
     resendRequest(run, now, out);
@@ -266,21 +269,21 @@
 {
     auto* state = m_directory.find(run.service);
     const bool failed = response.status >= 500;
-    const bool retry = failed && run.idempotent() && run.possibleExecutions < run.route->maxServers && !run.headSent
-        && run.calls.empty() && run.remainingTime(now) > serverRetryInterval;
-    if (retry && state->retryBudget.take(1, now)) {
+    const bool retry = failed && run.idempotent() && run.possibleExecutions < run.route->maxCallsPerRequest
+        && !run.headSent && run.calls.empty() && run.remainingTime(now) > serverRetryInterval;
+    if (retry && state->retryBudget.tryAcquire(1, now)) {
         logDecision(run, "answer_not_used", { { "status", std::to_string(response.status) } });
         resendRequest(run, now, out);
         return;
     }
     if (run.headSent) {
-        finishStream(run, ForwardEnd::StreamBroken, now, out);
+        finishStream(run, ForwardOutcome::StreamBroken, now, out);
         return;
     }
     logDecision(run, "request_answered",
         { { "status", std::to_string(response.status) },
             { "after_ms", formatInteger(toMilliseconds(now - run.acceptedAt)) } });
-    out.emplace_back(ReplyWhole { run.id, std::move(response), ForwardEnd::Answered, {} });
+    out.emplace_back(SendResponse { run.id, std::move(response), ForwardOutcome::Answered, {} });
     closeRun(run, now, out);
 }
 
@@ -288,8 +291,8 @@
 void RoutingForwarder::failOverStream(ForwardRun& run, TimePoint now, ForwardActions& out)
 {
     while (!run.calls.empty())
-        closeCall(run, run.calls.front().id, routing::CallSign::Broken, true, now, out);
-    onCallBroken(run, ForwardCallEnd::TimedOut, now, out);
+        closeCall(run, run.calls.front().id, routing::CallOutcome::Failed, true, now, out);
+    onCallBroken(run, ForwardCallOutcome::TimedOut, now, out);
 }
 
 } // namespace foxtailwheel::serving
--- a/src/foxtailwheel/serving/ForwardNames.cpp
+++ b/src/foxtailwheel/serving/ForwardNames.cpp
@@ -7,79 +7,79 @@
     return std::to_string(static_cast<long>(n));
 }
 
-unsigned httpStatus(ForwardEnd outcome)
+unsigned httpStatus(ForwardOutcome outcome)
 {
     switch (outcome) {
-    case ForwardEnd::NoRoute:
+    case ForwardOutcome::NoRoute:
         return 404;
-    case ForwardEnd::BadCredential:
+    case ForwardOutcome::BadCredential:
         return 401;
-    case ForwardEnd::BadRequest:
+    case ForwardOutcome::BadRequest:
         return 400;
-    case ForwardEnd::BackendFailed:
+    case ForwardOutcome::BackendFailed:
         return 502;
-    case ForwardEnd::TimedOut:
+    case ForwardOutcome::TimedOut:
         return 504;
     default:
         return 503;
     }
 }
 
-std::string_view toString(ForwardEnd outcome)
+std::string_view toString(ForwardOutcome outcome)
 {
     switch (outcome) {
-    case ForwardEnd::Answered:
+    case ForwardOutcome::Answered:
         return "answered";
-    case ForwardEnd::NoConfiguration:
+    case ForwardOutcome::NoConfiguration:
         return "no_configuration";
-    case ForwardEnd::NoRoute:
+    case ForwardOutcome::NoRoute:
         return "no_route";
-    case ForwardEnd::BadCredential:
+    case ForwardOutcome::BadCredential:
         return "bad_credential";
-    case ForwardEnd::CredentialsOutdated:
+    case ForwardOutcome::CredentialsOutdated:
         return "credentials_outdated";
-    case ForwardEnd::BadRequest:
+    case ForwardOutcome::BadRequest:
         return "bad_request";
-    case ForwardEnd::NoServer:
+    case ForwardOutcome::NoServer:
         return "no_server";
-    case ForwardEnd::Overloaded:
+    case ForwardOutcome::Overloaded:
         return "overloaded";
-    case ForwardEnd::StageFailed:
+    case ForwardOutcome::StageFailed:
         return "stage_failed";
-    case ForwardEnd::NotStarted:
+    case ForwardOutcome::NotStarted:
         return "not_started";
-    case ForwardEnd::BackendFailed:
+    case ForwardOutcome::BackendFailed:
         return "backend_failed";
-    case ForwardEnd::TimedOut:
+    case ForwardOutcome::TimedOut:
         return "timed_out";
-    case ForwardEnd::TimedOutWaiting:
+    case ForwardOutcome::TimedOutWaiting:
         return "timed_out_waiting";
-    case ForwardEnd::CallerLeft:
+    case ForwardOutcome::CallerDisconnected:
         return "caller_left";
-    case ForwardEnd::StreamBroken:
+    case ForwardOutcome::StreamBroken:
         return "stream_broken";
-    case ForwardEnd::ShuttingDown:
+    case ForwardOutcome::ShuttingDown:
         return "shutting_down";
     }
     return "unknown";
 }
 
-std::string_view toString(ForwardCallEnd outcome)
+std::string_view toString(ForwardCallOutcome outcome)
 {
     switch (outcome) {
-    case ForwardCallEnd::Complete:
+    case ForwardCallOutcome::Complete:
         return "complete";
-    case ForwardCallEnd::NotSent:
+    case ForwardCallOutcome::NotSent:
         return "not_sent";
-    case ForwardCallEnd::Refused:
+    case ForwardCallOutcome::Refused:
         return "refused";
-    case ForwardCallEnd::Misdirected:
+    case ForwardCallOutcome::Misdirected:
         return "misdirected";
-    case ForwardCallEnd::InputGone:
+    case ForwardCallOutcome::InputMissing:
         return "input_gone";
-    case ForwardCallEnd::TimedOut:
+    case ForwardCallOutcome::TimedOut:
         return "timed_out";
-    case ForwardCallEnd::Broken:
+    case ForwardCallOutcome::Broken:
         break;
     }
     return "broken";
--- a/src/foxtailwheel/serving/ForwardRequests.cpp
+++ b/src/foxtailwheel/serving/ForwardRequests.cpp
@@ -59,21 +59,21 @@
 void RoutingForwarder::logDecision(
     const ForwardRun& run, std::string_view event, std::vector<std::pair<std::string_view, std::string>> fields) const
 {
-    if (m_options.note)
-        m_options.note({ event, run.request.name, std::move(fields) });
+    if (m_options.decisionLog)
+        m_options.decisionLog({ event, run.request.attemptId, std::move(fields) });
 }
 
 /// Looks up the account of the credential. Without a recent confirmation, credentials are neither accepted nor
 /// rejected: the result is `CredentialsOutdated`.
-std::optional<ForwardEnd> RoutingForwarder::authorize(ForwardRun& run, TimePoint now) const
+std::optional<ForwardOutcome> RoutingForwarder::authorize(ForwardRun& run, TimePoint now) const
 {
     if (run.route->isPublic || !m_table->needsCredentials)
         return std::nullopt;
-    if (now - m_credentialsConfirmedAt > m_options.credentialLife)
-        return ForwardEnd::CredentialsOutdated;
+    if (now - m_credentialsConfirmedAt > m_options.credentialMaxAge)
+        return ForwardOutcome::CredentialsOutdated;
     const auto it = m_table->credentials.find(run.request.credential);
     if (run.request.credential.empty() || it == m_table->credentials.end())
-        return ForwardEnd::BadCredential;
+        return ForwardOutcome::BadCredential;
     run.account = it->second.account;
     run.priority = it->second.priority.value_or(run.route->priority);
     return std::nullopt;
@@ -104,21 +104,22 @@
     run.table = m_table;
     m_runs.emplace(id, std::move(entry));
     if (!m_accepting) {
-        refuse(run, ForwardEnd::ShuttingDown, {}, now, out);
+        refuse(run, ForwardOutcome::ShuttingDown, {}, now, out);
         return;
     }
     if (!m_table) {
-        refuse(run, ForwardEnd::NoConfiguration, notReadyRetryAfter, now, out);
+        refuse(run, ForwardOutcome::NoConfiguration, notReadyRetryAfter, now, out);
         return;
     }
     run.route = m_table->findRoute(run.request.host, run.request.message.path());
     if (run.route == nullptr) {
-        refuse(run, ForwardEnd::NoRoute, {}, now, out);
+        refuse(run, ForwardOutcome::NoRoute, {}, now, out);
         return;
     }
     run.priority = run.route->priority;
     if (const auto outcome = authorize(run, now)) {
-        refuse(run, *outcome, *outcome == ForwardEnd::CredentialsOutdated ? notReadyRetryAfter : Duration {}, now, out);
+        refuse(run, *outcome, *outcome == ForwardOutcome::CredentialsOutdated ? notReadyRetryAfter : Duration {}, now,
+            out);
         return;
     }
     start(run, now, out);
@@ -127,13 +128,13 @@
 void RoutingForwarder::start(ForwardRun& run, TimePoint now, ForwardActions& out)
 {
     const auto& route = *run.route;
-    run.deadline = now + std::min(route.timeLimit, run.request.timeLeft.value_or(route.timeLimit));
+    run.deadline = now + std::min(route.timeout, run.request.remainingTime.value_or(route.timeout));
     run.service = pickService(run);
     run.firstAttemptAt = now - timeSpentOnEarlierAttempts(run, now);
     run.lastEventId = run.request.lastEventId;
     run.stages.resize(route.stages.size());
     for (StageIndex i = 0; i < run.stages.size(); ++i) {
-        const auto n = i < run.request.pieces.size() ? run.request.pieces[i] : 0;
+        const auto n = i < run.request.pieceCounts.size() ? run.request.pieceCounts[i] : 0;
         run.stages[i].results.resize(n);
         run.stages[i].missing = n;
     }
@@ -141,11 +142,11 @@
     chooseZone(run);
     if (const auto retryAfter = retryAfterOverload(run, now); m_options.admissionControl && retryAfter) {
         logDecision(run, "overload_foreseen",
-            { { "goal_left_ms", formatInteger(toMilliseconds(run.firstAttemptAt + route.goal - now)) },
+            { { "goal_left_ms", formatInteger(toMilliseconds(run.firstAttemptAt + route.latencyTarget - now)) },
                 { "timely_ms", formatInteger(toMilliseconds(expectedTime(run, false, now))) },
                 { "late_ms", formatInteger(toMilliseconds(expectedTime(run, true, now))) },
                 { "time_left_ms", formatInteger(toMilliseconds(run.remainingTime(now))) } });
-        refuse(run, ForwardEnd::Overloaded, *retryAfter, now, out);
+        refuse(run, ForwardOutcome::Overloaded, *retryAfter, now, out);
         return;
     }
     logDecision(run, "request_accepted",
@@ -160,10 +161,10 @@
 /// a shorter one indicates a retry.
 Duration RoutingForwarder::timeSpentOnEarlierAttempts(const ForwardRun& run, TimePoint now)
 {
-    if (!run.request.timeLeft)
+    if (!run.request.remainingTime)
         return {};
     auto& longest = m_callerTimeouts[run.route->name];
-    const auto remaining = *run.request.timeLeft;
+    const auto remaining = *run.request.remainingTime;
     if (remaining >= longest.timeout || now > longest.expiresAt)
         longest = { remaining, now + callerTimeoutRetention };
     return toSeconds(remaining) > toSeconds(longest.timeout) * firstAttemptShare ? Duration {}
@@ -191,7 +192,7 @@
     std::vector<Duration> done(run.stages.size());
     Duration longest {};
     for (StageIndex i = 0; i < run.stages.size(); ++i) {
-        for (const auto needed : run.route->stages[i].needs)
+        for (const auto needed : run.route->stages[i].dependsOn)
             done[i] = std::max(done[i], done[needed]);
         if (const auto n = run.stages[i].missing; n > 0)
             done[i] += m_broker.expectedWait(run.route->stages[i].service, run.priority, late, n, now);
@@ -205,7 +206,7 @@
 /// @return The Retry-After hint, or nothing if the request should be accepted.
 std::optional<Duration> RoutingForwarder::retryAfterOverload(const ForwardRun& run, TimePoint now) const
 {
-    const auto remainingToTarget = run.firstAttemptAt + run.route->goal - now;
+    const auto remainingToTarget = run.firstAttemptAt + run.route->latencyTarget - now;
     const auto stages = expectedTime(run, false, now);
     if (stages == Duration {} || stages + usualTimeToFirstByte(run) <= remainingToTarget)
         return std::nullopt;
@@ -216,7 +217,7 @@
     return std::clamp<Duration>(expected - remaining, minRetryAfter, std::max<Duration>(remaining / 3, minRetryAfter));
 }
 
-void RoutingForwarder::onCallerLeft(ForwardId id, TimePoint now, ForwardActions& out)
+void RoutingForwarder::onCallerDisconnected(ForwardId id, TimePoint now, ForwardActions& out)
 {
     auto* run = findRun(id);
     if (run == nullptr)
@@ -226,7 +227,7 @@
 }
 
 void RoutingForwarder::refuse(
-    ForwardRun& run, ForwardEnd outcome, Duration retryAfter, TimePoint now, ForwardActions& out)
+    ForwardRun& run, ForwardOutcome outcome, Duration retryAfter, TimePoint now, ForwardActions& out)
 {
     logDecision(run, "request_refused",
         { { "reason", std::string(toString(outcome)) },
@@ -236,24 +237,24 @@
             { "retry_after_ms", formatInteger(toMilliseconds(retryAfter)) } });
     http::Response response { httpStatus(outcome), { { "Content-Type", "application/json" } }, {} };
     response.body = "{\"reason\":\"" + std::string(toString(outcome)) + "\"}";
-    out.emplace_back(ReplyWhole { run.id, std::move(response), outcome, retryAfter });
+    out.emplace_back(SendResponse { run.id, std::move(response), outcome, retryAfter });
     closeRun(run, now, out);
 }
 
-void RoutingForwarder::fail(ForwardRun& run, ForwardEnd outcome, TimePoint now, ForwardActions& out)
+void RoutingForwarder::fail(ForwardRun& run, ForwardOutcome outcome, TimePoint now, ForwardActions& out)
 {
     if (run.headSent)
-        finishStream(run, ForwardEnd::StreamBroken, now, out);
+        finishStream(run, ForwardOutcome::StreamBroken, now, out);
     else
         refuse(run, outcome, httpStatus(outcome) == 503 ? noServerRetryAfter : Duration {}, now, out);
 }
 
-void RoutingForwarder::finishStream(ForwardRun& run, ForwardEnd outcome, TimePoint now, ForwardActions& out)
+void RoutingForwarder::finishStream(ForwardRun& run, ForwardOutcome outcome, TimePoint now, ForwardActions& out)
 {
     logDecision(run, "stream_ended",
         { { "end", std::string(toString(outcome)) }, { "last_event", std::to_string(run.lastEventId.value_or(0)) },
             { "after_ms", formatInteger(toMilliseconds(now - run.acceptedAt)) } });
-    out.emplace_back(ReplyEnd { run.id, outcome });
+    out.emplace_back(EndResponse { run.id, outcome });
     closeRun(run, now, out);
 }
 
@@ -263,8 +264,8 @@
     const auto id = run.id;
     while (!run.calls.empty()) {
         const auto& call = run.calls.front();
-        closeCall(run, call.id, isSilent(run, call, now) ? routing::CallSign::Broken : routing::CallSign::Busy, true,
-            now, out);
+        closeCall(run, call.id,
+            isSilent(run, call, now) ? routing::CallOutcome::Failed : routing::CallOutcome::Rejected, true, now, out);
     }
     if (run.route != nullptr)
         cancelStages(run, now, out);
--- a/src/foxtailwheel/serving/ForwardRun.cpp
+++ b/src/foxtailwheel/serving/ForwardRun.cpp
@@ -13,7 +13,7 @@
 {
     std::vector<bool> consumed(stages.size(), false);
     for (const auto& it : route->stages) {
-        for (const auto needed : it.needs)
+        for (const auto needed : it.dependsOn)
             consumed[needed] = true;
     }
     std::vector<std::string> handles;
--- a/src/foxtailwheel/serving/ForwardRun.h
+++ b/src/foxtailwheel/serving/ForwardRun.h
@@ -55,7 +55,10 @@
     bool headSent = false;
 
     /// @brief Returns true if the request may be sent again after it may have run.
-    bool idempotent() const { return route->repeat == config::Repeat::Freely || (route->streams && route->resumable); }
+    bool idempotent() const
+    {
+        return route->retryMode == config::RetryMode::Allowed || (route->streaming && route->resumable);
+    }
     /// @brief Returns true if all stages have their results.
     bool allStagesDone() const;
     /// @brief Returns the handles of the request's own inputs: the results of stages that no other stage needs.
--- a/src/foxtailwheel/serving/ForwardStages.cpp
+++ b/src/foxtailwheel/serving/ForwardStages.cpp
@@ -18,19 +18,19 @@
     /// Returns the duration of a batch call with the maximum number of pieces.
     Duration fullCallTime(const config::BatchLimits& limits)
     {
-        return limits.callTime + limits.pieceTime * limits.pieces;
+        return limits.callTime + limits.pieceTime * limits.maxPieces;
     }
 
 } // namespace
 
 Piece RoutingForwarder::makePiece(const ForwardRun& run, StageIndex stage, std::uint32_t index) const
 {
-    Piece piece { run.request.name, stage, index, {}, {} };
-    for (const auto needed : run.route->stages[stage].needs) {
+    Piece piece { run.request.attemptId, stage, index, {}, {} };
+    for (const auto needed : run.route->stages[stage].dependsOn) {
         for (const auto& it : run.stages[needed].results)
             piece.inputs.push_back(it->value);
     }
-    if (run.route->stages[stage].needs.empty())
+    if (run.route->stages[stage].dependsOn.empty())
         piece.key = run.request.pieceKey;
     return piece;
 }
@@ -43,7 +43,7 @@
         progress = false;
         for (StageIndex i = 0; i < run.stages.size(); ++i) {
             auto& stage = run.stages[i];
-            const auto& needs = run.route->stages[i].needs;
+            const auto& needs = run.route->stages[i].dependsOn;
             const bool ready
                 = std::all_of(needs.begin(), needs.end(), [&run](StageIndex it) { return run.stages[it].done(); });
             if (stage.started || !ready)
@@ -67,13 +67,13 @@
     Duration after = usualTimeToFirstByte(run);
     std::vector<bool> follows(run.stages.size(), false);
     for (StageIndex i = stage + 1; i < run.stages.size(); ++i) {
-        const auto& needs = run.route->stages[i].needs;
+        const auto& needs = run.route->stages[i].dependsOn;
         follows[i] = std::any_of(needs.begin(), needs.end(), [&](StageIndex it) { return it == stage || follows[it]; });
         const auto* service = run.table->findService(run.route->stages[i].service);
         if (follows[i] && service != nullptr && service->batch)
             after += fromSeconds(toSeconds(fullCallTime(*service->batch)) * (1 + meanWaitShare));
     }
-    return run.firstAttemptAt + run.route->goal - after;
+    return run.firstAttemptAt + run.route->latencyTarget - after;
 }
 
 /// Returns the number of remaining stages with missing pieces, counting `stage`. The time until the target is divided
@@ -92,9 +92,9 @@
 {
     const auto& declared = run.route->stages[stage];
     std::map<AvailabilityZoneId, std::uint64_t> inputs;
-    for (const auto needed : declared.needs) {
+    for (const auto needed : declared.dependsOn) {
         for (const auto& it : run.stages[needed].results)
-            inputs[it->maker.zone] += run.route->stages[needed].resultBytes;
+            inputs[it->producer.zone] += run.route->stages[needed].resultBytes;
     }
     const auto largest = std::max_element(
         inputs.begin(), inputs.end(), [](const auto& a, const auto& b) { return a.second < b.second; });
@@ -102,7 +102,7 @@
         return largest->first;
     const auto& stages = run.route->stages;
     const bool consumed = std::any_of(stages.begin(), stages.end(), [stage](const config::RouteStage& it) {
-        return std::find(it.needs.begin(), it.needs.end(), stage) != it.needs.end();
+        return std::find(it.dependsOn.begin(), it.dependsOn.end(), stage) != it.dependsOn.end();
     });
     return consumed ? std::nullopt : run.homeZone;
 }
@@ -125,7 +125,7 @@
 {
     const auto& service = run.route->stages[stage].service;
     if (findQueue(service) == nullptr) {
-        fail(run, ForwardEnd::StageFailed, now, out);
+        fail(run, ForwardOutcome::StageFailed, now, out);
         return;
     }
     auto& progress = run.stages[stage];
@@ -135,12 +135,12 @@
     logDecision(run, "pieces_asked",
         { { "stage", std::to_string(stage) }, { "service", service.value() },
             { "owner", m_broker.ownerOf(service, now).value() }, { "pieces", std::to_string(group.pieces.size()) },
-            { "goal_ms", formatInteger(toMilliseconds(group.goal - now)) },
+            { "goal_ms", formatInteger(toMilliseconds(group.targetTime - now)) },
             { "expected_ms",
                 formatInteger(
                     toMilliseconds(m_broker.expectedWait(service, run.priority, false, group.pieces.size(), now))) } });
     BrokerActions actions;
-    m_broker.ask(service, std::move(group), now, actions);
+    m_broker.submit(service, std::move(group), now, actions);
     applyBrokerActions(std::move(actions), now, out);
 }
 
@@ -152,7 +152,7 @@
         if (auto* send = std::get_if<SendBatch>(&it)) {
             m_batchCalls[send->call] = send->service;
             out.emplace_back(std::move(*send));
-        } else if (auto* message = std::get_if<TellInstance>(&it)) {
+        } else if (auto* message = std::get_if<SendToInstance>(&it)) {
             out.emplace_back(std::move(*message));
         } else if (auto* release = std::get_if<ReleaseResults>(&it)) {
             out.emplace_back(std::move(*release));
@@ -161,7 +161,7 @@
         }
     }
     for (const auto& it : m_directory.services()) {
-        const auto at = it.second.batchQueue ? it.second.batchQueue->nextPump() : std::nullopt;
+        const auto at = it.second.batchQueue ? it.second.batchQueue->nextDispatch() : std::nullopt;
         const auto scheduled = m_dispatchTimers.find(it.first);
         if (!at || (scheduled != m_dispatchTimers.end() && scheduled->second <= *at))
             continue;
@@ -177,7 +177,7 @@
     auto* run = stageRef == m_groups.end() ? nullptr : findRun(stageRef->second.run);
     if (run == nullptr) {
         if (handle != nullptr)
-            release({ handle->service, handle->maker, { handle->value } }, now, out);
+            release({ handle->service, handle->producer, { handle->value } }, now, out);
         return;
     }
     const auto stage = stageRef->second.stage;
@@ -188,7 +188,7 @@
     }
     if (piece.index >= progress.results.size() || progress.results[piece.index]) {
         // The piece was produced twice: here and by the owner.
-        release({ handle->service, handle->maker, { handle->value } }, now, out);
+        release({ handle->service, handle->producer, { handle->value } }, now, out);
         return;
     }
     progress.results[piece.index] = *handle;
@@ -208,30 +208,30 @@
     logDecision(run, "piece_failed",
         { { "stage", std::to_string(stage) }, { "piece", std::to_string(piece.index) },
             { "reason", std::string(toString(failure)) }, { "tries", std::to_string(progress.retries) } });
-    if (failure == PieceFailure::Late) {
-        fail(run, ForwardEnd::TimedOutWaiting, now, out);
+    if (failure == PieceFailure::DeadlineExceeded) {
+        fail(run, ForwardOutcome::TimedOutWaiting, now, out);
         return;
     }
-    if (failure == PieceFailure::InputGone) {
+    if (failure == PieceFailure::InputMissing) {
         restartStages(run, now, out);
         return;
     }
     auto* state = m_directory.find(run.route->stages[stage].service);
-    if (++progress.retries > maxGroupRetries || !state->retryBudget.take(1, now)) {
-        fail(run, ForwardEnd::StageFailed, now, out);
+    if (++progress.retries > maxGroupRetries || !state->retryBudget.tryAcquire(1, now)) {
+        fail(run, ForwardOutcome::StageFailed, now, out);
         return;
     }
     auto group = makeGroup(run, stage, now);
     std::erase_if(group.pieces, [&piece](const Piece& it) { return it.index != piece.index; });
     BrokerActions actions;
-    m_broker.ask(run.route->stages[stage].service, std::move(group), now, actions);
+    m_broker.submit(run.route->stages[stage].service, std::move(group), now, actions);
     applyBrokerActions(std::move(actions), now, out);
 }
 
 void RoutingForwarder::restartStages(ForwardRun& run, TimePoint now, ForwardActions& out)
 {
     if (++run.stageRestarts > maxStageRestarts) {
-        fail(run, ForwardEnd::StageFailed, now, out);
+        fail(run, ForwardOutcome::StageFailed, now, out);
         return;
     }
     logDecision(run, "stages_restarted", { { "restarts", std::to_string(run.stageRestarts) } });
@@ -261,9 +261,9 @@
     for (const auto& it : progress.results) {
         if (!it)
             continue;
-        auto& results = byMaker[it->maker.id.value()];
+        auto& results = byMaker[it->producer.id.value()];
         results.service = it->service;
-        results.maker = it->maker;
+        results.producer = it->producer;
         results.handles.push_back(it->value);
     }
     for (auto& it : byMaker)
@@ -277,7 +277,7 @@
         bool consumed = false;
         bool needed = false;
         for (StageIndex j = 0; j < run.stages.size(); ++j) {
-            const auto& needs = run.route->stages[j].needs;
+            const auto& needs = run.route->stages[j].dependsOn;
             const bool takes = std::find(needs.begin(), needs.end(), i) != needs.end();
             consumed = consumed || takes;
             needed = needed || (takes && !run.stages[j].done());
@@ -297,7 +297,7 @@
             BrokerActions actions;
             m_broker.cancel(stage.group, actions);
             for (auto& it : actions)
-                out.emplace_back(std::get<TellInstance>(std::move(it)));
+                out.emplace_back(std::get<SendToInstance>(std::move(it)));
         }
         releaseStage(run, i, now, out);
     }
--- a/src/foxtailwheel/serving/Forwarder.cpp
+++ b/src/foxtailwheel/serving/Forwarder.cpp
@@ -44,7 +44,7 @@
 {
     BrokerActions actions;
     for (const auto& it : m_directory.services())
-        m_broker.pump(it.first, now, actions);
+        m_broker.dispatch(it.first, now, actions);
     applyBrokerActions(std::move(actions), now, out);
 }
 
@@ -54,8 +54,8 @@
 {
     for (auto& it : m_directory.services()) {
         if (it.second.batchQueue)
-            it.second.batchQueue->setShare(
-                m_broker.gathers(it.first, now) ? 1 : 1.0 / static_cast<double>(m_instanceCount));
+            it.second.batchQueue->setSlotShare(
+                m_broker.actsAsOwner(it.first, now) ? 1 : 1.0 / static_cast<double>(m_instanceCount));
     }
 }
 
@@ -70,19 +70,20 @@
     applyBrokerActions(std::move(actions), now, out);
 }
 
-void RoutingForwarder::onPeer(const InstanceId& from, const PieceMessage& message, TimePoint now, ForwardActions& out)
+void RoutingForwarder::onPeerMessage(
+    const InstanceId& from, const PieceMessage& message, TimePoint now, ForwardActions& out)
 {
     BrokerActions actions;
-    if (std::holds_alternative<PiecesAsked>(message))
+    if (std::holds_alternative<PieceRequest>(message))
         updateQueueShares(now);
     m_broker.onMessage(from, message, now, actions);
     applyBrokerActions(std::move(actions), now, out);
 }
 
-void RoutingForwarder::onPeerLost(const InstanceId& instance, TimePoint now, ForwardActions& out)
+void RoutingForwarder::onPeerConnectionLost(const InstanceId& instance, TimePoint now, ForwardActions& out)
 {
     BrokerActions actions;
-    m_broker.onLost(instance, now, actions);
+    m_broker.onConnectionLost(instance, now, actions);
     updateQueueShares(now);
     applyBrokerActions(std::move(actions), now, out);
 }
@@ -90,15 +91,15 @@
 ForwarderStatus RoutingForwarder::status(TimePoint now) const
 {
     ForwarderStatus status;
-    status.version = m_table ? m_table->version : 0;
-    status.requests = m_runs.size();
+    status.configVersion = m_table ? m_table->version : 0;
+    status.activeRequests = m_runs.size();
     status.credentialsCurrent
-        = m_table && (!m_table->needsCredentials || now - m_credentialsConfirmedAt <= m_options.credentialLife);
+        = m_table && (!m_table->needsCredentials || now - m_credentialsConfirmedAt <= m_options.credentialMaxAge);
     return status;
 }
 
 void RoutingForwarder::onBatchEnd(
-    CallId call, BatchEnd outcome, const std::vector<PieceResult>& results, TimePoint now, ForwardActions& out)
+    CallId call, BatchOutcome outcome, const std::vector<PieceResult>& results, TimePoint now, ForwardActions& out)
 {
     const auto it = m_batchCalls.find(call);
     if (it == m_batchCalls.end())
@@ -110,17 +111,17 @@
     applyBrokerActions(std::move(actions), now, out);
 }
 
-void RoutingForwarder::onLoad(CallId call, const ToldLoad& load, TimePoint now)
+void RoutingForwarder::onLoadReport(CallId call, const ReportedLoad& load, TimePoint now)
 {
     auto* run = findRunOfCall(call);
     if (run == nullptr)
         return;
     const auto* openCall = run->findCall(call);
     if (auto* state = m_directory.find(run->service))
-        state->pool->reported(openCall->server, { load.running, load.waiting, now });
+        state->pool->onLoadReport(openCall->server, { load.running, load.waiting, now });
 }
 
-void RoutingForwarder::onTime(TimePoint now, ForwardActions& out)
+void RoutingForwarder::onTimer(TimePoint now, ForwardActions& out)
 {
     while (!m_timers.empty() && m_timers.begin()->first <= now) {
         const auto timer = m_timers.begin()->second;
@@ -128,7 +129,7 @@
         handleTimer(timer, now, out);
     }
     BrokerActions actions;
-    m_broker.onTime(now, actions);
+    m_broker.onTimer(now, actions);
     applyBrokerActions(std::move(actions), now, out);
 }
 
@@ -137,7 +138,7 @@
     if (timer.kind == TimerKind::Dispatch) {
         m_dispatchTimers.erase(timer.service);
         BrokerActions actions;
-        m_broker.pump(timer.service, now, actions);
+        m_broker.dispatch(timer.service, now, actions);
         applyBrokerActions(std::move(actions), now, out);
         return;
     }
@@ -155,21 +156,21 @@
             return;
         if (trySend(*run, !run->triedServers.empty(), now, out))
             return;
-        if (now - run->acceptedAt > std::max(serverWaitTimeout, run->route->goal))
-            fail(*run, run->mayHaveRun ? ForwardEnd::BackendFailed : ForwardEnd::NoServer, now, out);
+        if (now - run->acceptedAt > std::max(serverWaitTimeout, run->route->latencyTarget))
+            fail(*run, run->mayHaveRun ? ForwardOutcome::BackendFailed : ForwardOutcome::NoServer, now, out);
         else
             setTimer(now + serverRetryInterval, timer);
         return;
     case TimerKind::Hedge:
-        if (call == nullptr || call->headReceived || run->possibleExecutions >= run->route->maxServers)
+        if (call == nullptr || call->headReceived || run->possibleExecutions >= run->route->maxCallsPerRequest)
             return;
-        if (run->route->streams)
+        if (run->route->streaming)
             failOverStream(*run, now, out);
-        else if (run->calls.size() == 1 && state->retryBudget.take(1, now))
+        else if (run->calls.size() == 1 && state->retryBudget.tryAcquire(1, now))
             trySend(*run, true, now, out);
         return;
     case TimerKind::StreamSilence:
-        if (call == nullptr || run->possibleExecutions >= run->route->maxServers)
+        if (call == nullptr || run->possibleExecutions >= run->route->maxCallsPerRequest)
             return;
         if (now - run->lastDataAt >= streamSilenceTimeout)
             failOverStream(*run, now, out);
@@ -183,7 +184,7 @@
 
 void RoutingForwarder::onDeadline(ForwardRun& run, TimePoint now, ForwardActions& out)
 {
-    fail(run, run.mayHaveRun ? ForwardEnd::TimedOut : ForwardEnd::TimedOutWaiting, now, out);
+    fail(run, run.mayHaveRun ? ForwardOutcome::TimedOut : ForwardOutcome::TimedOutWaiting, now, out);
 }
 
 std::unique_ptr<Forwarder> Forwarder::create(ForwarderOptions options)
--- a/src/foxtailwheel/serving/ForwarderTest.cpp
+++ b/src/foxtailwheel/serving/ForwarderTest.cpp
@@ -11,18 +11,18 @@
 
 constexpr TimePoint start { 1h };
 
-config::Route route(const std::string& name, config::Repeat repeat, bool streams)
+config::Route route(const std::string& name, config::RetryMode repeat, bool streams)
 {
     config::Route out;
     out.name = name;
     out.host = "h.example";
     out.prefix = "/" + name + "/";
-    out.repeat = repeat;
-    out.streams = streams;
-    out.resumable = streams && repeat == config::Repeat::Freely;
-    out.timeLimit = 8s;
-    out.goal = 1s;
-    out.maxServers = 2;
+    out.retryMode = repeat;
+    out.streaming = streams;
+    out.resumable = streams && repeat == config::RetryMode::Allowed;
+    out.timeout = 8s;
+    out.latencyTarget = 1s;
+    out.maxCallsPerRequest = 2;
     out.targets = { { ServiceId(streams ? "model" : "desk"), 1 } };
     return out;
 }
@@ -31,9 +31,9 @@
 {
     auto out = std::make_shared<config::RouteTable>();
     out->version = version;
-    out->routes = { route("safe", config::Repeat::Freely, false), route("book", config::Repeat::Never, false),
-        route("plan", config::Repeat::Freely, true), route("once", config::Repeat::Never, true) };
-    auto staged = route("staged", config::Repeat::Freely, true);
+    out->routes = { route("safe", config::RetryMode::Allowed, false), route("book", config::RetryMode::Never, false),
+        route("plan", config::RetryMode::Allowed, true), route("once", config::RetryMode::Never, true) };
+    auto staged = route("staged", config::RetryMode::Allowed, true);
     staged.stages = { { ServiceId("portal"), {}, 1000 }, { ServiceId("bill"), { 0 }, 100 } };
     out->routes.push_back(staged);
     const config::BatchLimits batch { 1, 2, 10, 200ms, 17ms, 4s, 0 };
@@ -41,7 +41,7 @@
         { ServiceId("portal"), batch, 0, 0 }, { ServiceId("bill"), batch, 0, 0 } };
     out->needsCredentials = true;
     out->credentials = { { "key", { ClientAccountId("account"), std::nullopt } } };
-    out->index();
+    out->buildIndex();
     return out;
 }
 
@@ -68,21 +68,21 @@
     ForwardId submit(const std::string& name, TimePoint now = start, Duration remaining = 8s)
     {
         ForwardRequest request;
-        request.name = "r" + std::to_string(++requestCount);
+        request.attemptId = "r" + std::to_string(++requestCount);
         request.host = "h.example";
         request.message = { "POST", "/" + name + "/x", {}, "body" };
         request.credential = credential;
-        request.timeLeft = remaining;
-        request.pieces = pieces;
+        request.remainingTime = remaining;
+        request.pieceCounts = pieces;
         request.pieceKey = "k";
-        const auto id = forwarder->newRequest();
+        const auto id = forwarder->allocateRequestId();
         collectActions([&](auto& out) { forwarder->submit(id, std::move(request), now, out); });
         return id;
     }
 
-    void endCall(CallId call, ForwardCallEnd outcome, TimePoint now, unsigned status = 200)
+    void endCall(CallId call, ForwardCallOutcome outcome, TimePoint now, unsigned status = 200)
     {
-        collectActions([&](auto& out) { forwarder->onEnd(call, outcome, { status, {}, "answer" }, now, out); });
+        collectActions([&](auto& out) { forwarder->onCallEnd(call, outcome, { status, {}, "answer" }, now, out); });
     }
 
     void endBatch(const SendBatch& batch, TimePoint now)
@@ -92,12 +92,13 @@
             results.emplace_back(
                 ResultHandle { batch.service.value() + "/" + std::to_string(it.index) + "/" + std::to_string(++handles),
                     batch.server });
-        collectActions([&](auto& out) { forwarder->onBatchEnd(batch.call, BatchEnd::Answered, results, now, out); });
+        collectActions(
+            [&](auto& out) { forwarder->onBatchEnd(batch.call, BatchOutcome::Answered, results, now, out); });
     }
 
     void runTimers(TimePoint now)
     {
-        collectActions([&](auto& out) { forwarder->onTime(now, out); });
+        collectActions([&](auto& out) { forwarder->onTimer(now, out); });
     }
 
     template <class Function> void collectActions(Function function)
@@ -105,18 +106,18 @@
         ForwardActions actions;
         function(actions);
         for (auto& it : actions) {
-            if (auto* send = std::get_if<SendForward>(&it))
+            if (auto* send = std::get_if<SendUpstreamRequest>(&it))
                 sent.push_back(*send);
-            else if (auto* stop = std::get_if<StopForward>(&it))
+            else if (auto* stop = std::get_if<CancelUpstreamRequest>(&it))
                 cancelled.push_back(stop->call);
             else if (auto* batch = std::get_if<SendBatch>(&it))
                 batches.push_back(*batch);
-            else if (auto* whole = std::get_if<ReplyWhole>(&it))
+            else if (auto* whole = std::get_if<SendResponse>(&it))
                 replies.push_back(*whole);
-            else if (auto* bytes = std::get_if<ReplyBytes>(&it))
+            else if (auto* bytes = std::get_if<SendResponseData>(&it))
                 streamed += bytes->bytes;
-            else if (auto* ended = std::get_if<ReplyEnd>(&it))
-                outcomes.push_back(ended->end);
+            else if (auto* ended = std::get_if<EndResponse>(&it))
+                outcomes.push_back(ended->outcome);
             else if (auto* release = std::get_if<ReleaseResults>(&it))
                 released.insert(released.end(), release->handles.begin(), release->handles.end());
         }
@@ -128,12 +129,12 @@
     std::vector<std::uint32_t> pieces;
     std::size_t requestCount = 0;
     std::size_t handles = 0;
-    std::vector<SendForward> sent;
+    std::vector<SendUpstreamRequest> sent;
     std::vector<CallId> cancelled;
     std::vector<SendBatch> batches;
-    std::vector<ReplyWhole> replies;
+    std::vector<SendResponse> replies;
     std::string streamed;
-    std::vector<ForwardEnd> outcomes;
+    std::vector<ForwardOutcome> outcomes;
     std::vector<std::string> released;
 };
 
@@ -146,7 +147,7 @@
     cr_assert_eq(fixture.sent.size(), 1);
     cr_assert_eq(fixture.sent[0].message.body, "body");
     cr_assert_eq(fixture.sent[0].account.value(), "account");
-    fixture.endCall(fixture.sent[0].call, ForwardCallEnd::Complete, start + 20ms, 500);
+    fixture.endCall(fixture.sent[0].call, ForwardCallOutcome::Complete, start + 20ms, 500);
     cr_assert_eq(fixture.replies.size(), 1);
     cr_assert_eq(fixture.replies[0].response.status, 500);
     cr_assert_eq(fixture.replies[0].response.body, "answer");
@@ -154,7 +155,7 @@
 
 Test(Forwarder, nonIdempotentRequestIsNotRetriedAfterItMayHaveRun)
 {
-    for (const auto outcome : { ForwardCallEnd::Broken, ForwardCallEnd::TimedOut }) {
+    for (const auto outcome : { ForwardCallOutcome::Broken, ForwardCallOutcome::TimedOut }) {
         for (const std::string name : { "book", "once" }) {
             ForwarderFixture fixture;
             fixture.submit(name);
@@ -170,7 +171,8 @@
 
 Test(Forwarder, requestThatDidNotRunIsRetriedOnAnotherServer)
 {
-    for (const auto outcome : { ForwardCallEnd::NotSent, ForwardCallEnd::Refused, ForwardCallEnd::Misdirected }) {
+    for (const auto outcome :
+        { ForwardCallOutcome::NotSent, ForwardCallOutcome::Refused, ForwardCallOutcome::Misdirected }) {
         ForwarderFixture fixture;
         fixture.submit("book");
         fixture.endCall(fixture.sent[0].call, outcome, start + 5ms);
@@ -184,7 +186,7 @@
     ForwarderFixture fixture;
     fixture.submit("book");
     for (std::size_t i = 0; i < fixture.sent.size() && i < 10; ++i)
-        fixture.endCall(fixture.sent[i].call, ForwardCallEnd::Refused, start + 5ms * (i + 1));
+        fixture.endCall(fixture.sent[i].call, ForwardCallOutcome::Refused, start + 5ms * (i + 1));
     cr_assert_leq(fixture.sent.size(), 4);
     cr_assert_eq(fixture.replies.at(0).response.status, 503);
     cr_assert_gt(fixture.replies[0].retryAfter, Duration {});
@@ -194,9 +196,9 @@
 {
     ForwarderFixture fixture;
     fixture.submit("safe");
-    fixture.endCall(fixture.sent[0].call, ForwardCallEnd::Broken, start + 20ms);
+    fixture.endCall(fixture.sent[0].call, ForwardCallOutcome::Broken, start + 20ms);
     cr_assert_eq(fixture.sent.size(), 2);
-    fixture.endCall(fixture.sent[1].call, ForwardCallEnd::Broken, start + 40ms);
+    fixture.endCall(fixture.sent[1].call, ForwardCallOutcome::Broken, start + 40ms);
     cr_assert_eq(fixture.sent.size(), 2);
     cr_assert_eq(fixture.replies.at(0).response.status, 502);
 }
@@ -207,7 +209,7 @@
     fixture.submit("safe");
     fixture.runTimers(start + 500ms);
     cr_assert_eq(fixture.sent.size(), 2);
-    fixture.endCall(fixture.sent[1].call, ForwardCallEnd::Complete, start + 520ms);
+    fixture.endCall(fixture.sent[1].call, ForwardCallOutcome::Complete, start + 520ms);
     cr_assert_eq(fixture.replies.size(), 1);
     cr_assert_eq(fixture.cancelled.size(), 1);
     cr_assert_eq(fixture.cancelled[0], fixture.sent[0].call);
@@ -232,8 +234,8 @@
 {
     const auto forwarder = Forwarder::create({});
     ForwardActions actions;
-    forwarder->submit(forwarder->newRequest(), {}, start, actions);
-    cr_assert_eq(std::get<ReplyWhole>(actions.at(0)).response.status, 503);
+    forwarder->submit(forwarder->allocateRequestId(), {}, start, actions);
+    cr_assert_eq(std::get<SendResponse>(actions.at(0)).response.status, 503);
 }
 
 Test(Forwarder, olderConfigurationIsIgnored)
@@ -262,21 +264,25 @@
     ForwarderFixture fixture;
     fixture.submit("plan");
     const auto first = fixture.sent.at(0).call;
-    fixture.collectActions([&](auto& out) { fixture.forwarder->onHead(first, { 200, {}, {} }, start + 100ms, out); });
     fixture.collectActions([&](auto& out) {
-        fixture.forwarder->onData(first, "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda", start + 110ms, out);
+        fixture.forwarder->onResponseHead(first, { 200, {}, {} }, start + 100ms, out);
     });
-    fixture.endCall(first, ForwardCallEnd::Broken, start + 120ms);
+    fixture.collectActions([&](auto& out) {
+        fixture.forwarder->onResponseData(first, "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda", start + 110ms, out);
+    });
+    fixture.endCall(first, ForwardCallOutcome::Broken, start + 120ms);
     cr_assert_eq(fixture.sent.size(), 2);
     cr_assert_eq(*fixture.sent[1].lastEventId, 2);
     const auto second = fixture.sent[1].call;
-    fixture.collectActions([&](auto& out) { fixture.forwarder->onHead(second, { 200, {}, {} }, start + 200ms, out); });
     fixture.collectActions([&](auto& out) {
-        fixture.forwarder->onData(second, "id: 2\ndata: b\n\nid: 3\ndata: c\n\n", start + 210ms, out);
+        fixture.forwarder->onResponseHead(second, { 200, {}, {} }, start + 200ms, out);
+    });
+    fixture.collectActions([&](auto& out) {
+        fixture.forwarder->onResponseData(second, "id: 2\ndata: b\n\nid: 3\ndata: c\n\n", start + 210ms, out);
     });
-    fixture.endCall(second, ForwardCallEnd::Complete, start + 220ms);
+    fixture.endCall(second, ForwardCallOutcome::Complete, start + 220ms);
     cr_assert_eq(fixture.streamed, "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n");
-    cr_assert_eq(fixture.outcomes.at(0), ForwardEnd::Answered);
+    cr_assert_eq(fixture.outcomes.at(0), ForwardOutcome::Answered);
 }
 
 Test(Forwarder, brokenNonResumableStreamIsNotRetried)
@@ -284,12 +290,14 @@
     ForwarderFixture fixture;
     fixture.submit("once");
     const auto call = fixture.sent.at(0).call;
-    fixture.collectActions([&](auto& out) { fixture.forwarder->onHead(call, { 200, {}, {} }, start + 100ms, out); });
+    fixture.collectActions([&](auto& out) {
+        fixture.forwarder->onResponseHead(call, { 200, {}, {} }, start + 100ms, out);
+    });
     fixture.collectActions(
-        [&](auto& out) { fixture.forwarder->onData(call, "id: 1\ndata: a\n\n", start + 110ms, out); });
-    fixture.endCall(call, ForwardCallEnd::Broken, start + 120ms);
+        [&](auto& out) { fixture.forwarder->onResponseData(call, "id: 1\ndata: a\n\n", start + 110ms, out); });
+    fixture.endCall(call, ForwardCallOutcome::Broken, start + 120ms);
     cr_assert_eq(fixture.sent.size(), 1);
-    cr_assert_eq(fixture.outcomes.at(0), ForwardEnd::StreamBroken);
+    cr_assert_eq(fixture.outcomes.at(0), ForwardOutcome::StreamBroken);
 }
 
 Test(Forwarder, streamThatEndsWithinAnEventIsBroken)
@@ -297,11 +305,14 @@
     ForwarderFixture fixture;
     fixture.submit("once");
     const auto call = fixture.sent.at(0).call;
-    fixture.collectActions([&](auto& out) { fixture.forwarder->onHead(call, { 200, {}, {} }, start + 100ms, out); });
-    fixture.collectActions([&](auto& out) { fixture.forwarder->onData(call, "id: 1\ndata: a", start + 110ms, out); });
-    fixture.endCall(call, ForwardCallEnd::Complete, start + 120ms);
+    fixture.collectActions([&](auto& out) {
+        fixture.forwarder->onResponseHead(call, { 200, {}, {} }, start + 100ms, out);
+    });
+    fixture.collectActions(
+        [&](auto& out) { fixture.forwarder->onResponseData(call, "id: 1\ndata: a", start + 110ms, out); });
+    fixture.endCall(call, ForwardCallOutcome::Complete, start + 120ms);
     cr_assert_eq(fixture.streamed, "");
-    cr_assert_eq(fixture.outcomes.at(0), ForwardEnd::StreamBroken);
+    cr_assert_eq(fixture.outcomes.at(0), ForwardOutcome::StreamBroken);
 }
 
 Test(Forwarder, silentCallIsCancelledBeforeItsStreamFailsOver)
@@ -309,7 +320,9 @@
     ForwarderFixture fixture;
     fixture.submit("plan");
     const auto first = fixture.sent.at(0).call;
-    fixture.collectActions([&](auto& out) { fixture.forwarder->onHead(first, { 200, {}, {} }, start + 100ms, out); });
+    fixture.collectActions([&](auto& out) {
+        fixture.forwarder->onResponseHead(first, { 200, {}, {} }, start + 100ms, out);
+    });
     fixture.runTimers(start + 1300ms);
     cr_assert_eq(fixture.cancelled.at(0), first);
     cr_assert_eq(fixture.sent.size(), 2);
@@ -332,7 +345,7 @@
     cr_assert_eq(fixture.sent[0].inputs.size(), 3);
     cr_assert_eq(fixture.released.size(), 2, "results that no remaining stage needs are released");
     fixture.collectActions([&](auto& out) {
-        fixture.forwarder->onHead(fixture.sent[0].call, { 200, {}, {} }, start + 600ms, out);
+        fixture.forwarder->onResponseHead(fixture.sent[0].call, { 200, {}, {} }, start + 600ms, out);
     });
     cr_assert_eq(fixture.released.size(), 5, "the first event proves that the inputs were read");
 }
@@ -368,7 +381,7 @@
     fixture.submit("staged");
     fixture.endBatch(fixture.batches.at(0), start + 217ms);
     fixture.endBatch(fixture.batches.at(1), start + 434ms);
-    fixture.endCall(fixture.sent.at(0).call, ForwardCallEnd::InputGone, start + 440ms);
+    fixture.endCall(fixture.sent.at(0).call, ForwardCallOutcome::InputMissing, start + 440ms);
     cr_assert_eq(fixture.batches.size(), 3);
     cr_assert_eq(fixture.batches[2].service.value(), "portal");
 }
@@ -386,7 +399,7 @@
         if (call.server.id != silent)
             continue;
         ++disconnects;
-        fixture.collectActions([&](auto& out) { fixture.forwarder->onCallerLeft(id, now + 2s, out); });
+        fixture.collectActions([&](auto& out) { fixture.forwarder->onCallerDisconnected(id, now + 2s, out); });
         if (disconnects == 2)
             break;
     }
@@ -402,15 +415,15 @@
 {
     ForwarderFixture fixture;
     const auto plain = fixture.submit("safe");
-    fixture.collectActions([&](auto& out) { fixture.forwarder->onCallerLeft(plain, start + 10ms, out); });
+    fixture.collectActions([&](auto& out) { fixture.forwarder->onCallerDisconnected(plain, start + 10ms, out); });
     cr_assert_eq(fixture.cancelled.size(), 1);
     fixture.pieces = { 1, 1 };
     const auto staged = fixture.submit("staged", start + 20ms);
-    fixture.collectActions([&](auto& out) { fixture.forwarder->onCallerLeft(staged, start + 30ms, out); });
+    fixture.collectActions([&](auto& out) { fixture.forwarder->onCallerDisconnected(staged, start + 30ms, out); });
     fixture.endBatch(fixture.batches.at(0), start + 240ms);
     cr_assert_eq(fixture.batches.size(), 1);
     cr_assert_eq(fixture.released.size(), 1, "the result of a cancelled request is released");
-    cr_assert_eq(fixture.forwarder->status(start).requests, 0);
+    cr_assert_eq(fixture.forwarder->status(start).activeRequests, 0);
 }
 
 Test(Forwarder, timeoutReportsWhetherTheRequestMayHaveRun)
@@ -433,7 +446,7 @@
     for (int i = 0; i < 60; ++i)
         fixture.submit("staged", start, 3s);
     const auto refused = std::count_if(fixture.replies.begin(), fixture.replies.end(),
-        [](const ReplyWhole& it) { return it.end == ForwardEnd::Overloaded; });
+        [](const SendResponse& it) { return it.outcome == ForwardOutcome::Overloaded; });
     cr_assert_gt(refused, 30);
     for (const auto& it : fixture.replies) {
         cr_assert_eq(it.response.status, 503);
@@ -449,8 +462,8 @@
     fixture.forwarder->stopAccepting();
     fixture.submit("book", start + 1s);
     cr_assert_eq(fixture.sent.size(), 1);
-    cr_assert_eq(fixture.replies.at(0).end, ForwardEnd::ShuttingDown);
-    fixture.endCall(fixture.sent[0].call, ForwardCallEnd::Complete, start + 2s);
+    cr_assert_eq(fixture.replies.at(0).outcome, ForwardOutcome::ShuttingDown);
+    fixture.endCall(fixture.sent[0].call, ForwardCallOutcome::Complete, start + 2s);
     cr_assert_eq(fixture.replies.at(1).response.status, 200);
 }
 
@@ -458,11 +471,11 @@
 {
     ForwarderFixture fixture;
     fixture.submit("safe");
-    fixture.endCall(fixture.sent[0].call, ForwardCallEnd::Complete, start + 20ms, 500);
+    fixture.endCall(fixture.sent[0].call, ForwardCallOutcome::Complete, start + 20ms, 500);
     cr_assert_eq(fixture.sent.size(), 2, "an idempotent request may run again");
-    fixture.endCall(fixture.sent[1].call, ForwardCallEnd::Complete, start + 40ms, 500);
+    fixture.endCall(fixture.sent[1].call, ForwardCallOutcome::Complete, start + 40ms, 500);
     cr_assert_eq(fixture.replies.at(0).response.status, 500);
-    cr_assert_eq(fixture.replies[0].end, ForwardEnd::Answered);
+    cr_assert_eq(fixture.replies[0].outcome, ForwardOutcome::Answered);
 }
 
 Test(Forwarder, retryIsChargedToTheBudgetOnce)
@@ -476,10 +489,10 @@
     for (int i = 0; i < 60; ++i) {
         const auto before = fixture.sent.size();
         fixture.submit("safe");
-        fixture.endCall(fixture.sent[before].call, ForwardCallEnd::Complete, start + 1ms, 500);
+        fixture.endCall(fixture.sent[before].call, ForwardCallOutcome::Complete, start + 1ms, 500);
         repeats += fixture.sent.size() - before - 1;
         if (fixture.sent.size() > before + 1)
-            fixture.endCall(fixture.sent[before + 1].call, ForwardCallEnd::Complete, start + 2ms);
+            fixture.endCall(fixture.sent[before + 1].call, ForwardCallOutcome::Complete, start + 2ms);
     }
     cr_assert_geq(repeats, 40);
     cr_assert_leq(repeats, 50);
--- a/src/foxtailwheel/serving/PieceBroker.cpp
+++ b/src/foxtailwheel/serving/PieceBroker.cpp
@@ -71,12 +71,12 @@
     {
         QueueWaits waits;
         for (std::size_t i = 0; i < reportedPriorities; ++i)
-            waits.timely.at(i) = queue.expectedWait(static_cast<std::uint32_t>(i), false, pieces, now);
+            waits.byPriority.at(i) = queue.expectedWait(static_cast<std::uint32_t>(i), false, pieces, now);
         waits.late = queue.expectedWait(0, true, pieces, now);
         return waits;
     }
 
-    void appendResult(PiecesMade& message, const QueuedGroup& group, const PieceDone& done)
+    void appendResult(PieceResults& message, const QueuedGroup& group, const PieceDone& done)
     {
         message.group = group.requesterGroup;
         message.service = group.service;
@@ -86,7 +86,7 @@
 } // namespace
 
 struct PieceBroker::Impl {
-    Impl(InstanceId s, QueueLookup f, NoteSink n)
+    Impl(InstanceId s, QueueLookup f, DecisionLog n)
         : self(std::move(s))
         , findQueue(std::move(f))
         , log(std::move(n))
@@ -99,10 +99,10 @@
     std::vector<PieceGroupId> routeActions(const std::vector<BatchAction>& actions, TimePoint now, BrokerActions& out);
     void applyActions(const std::vector<BatchAction>& actions, TimePoint now, BrokerActions& out);
     void reassign(PieceGroupId group, TimePoint now, BrokerActions& out);
-    void onRequest(const InstanceId& from, const PiecesAsked& request, TimePoint now, BrokerActions& out);
-    void onAck(const InstanceId& from, const PiecesTaken& ack, TimePoint now);
-    void onCancel(const InstanceId& from, const PiecesCancelled& cancel);
-    void onResults(const InstanceId& from, const PiecesMade& results, TimePoint now, BrokerActions& out);
+    void onRequest(const InstanceId& from, const PieceRequest& request, TimePoint now, BrokerActions& out);
+    void onAck(const InstanceId& from, const PieceRequestAck& ack, TimePoint now);
+    void onCancel(const InstanceId& from, const PieceRequestCancel& cancel);
+    void onResults(const InstanceId& from, const PieceResults& results, TimePoint now, BrokerActions& out);
     void resubmit(const ServiceId& service, PieceGroup group, TimePoint now, BrokerActions& out);
     void handOver(TimePoint now, BrokerActions& out);
     void sendHeartbeats(TimePoint now, BrokerActions& out);
@@ -112,7 +112,7 @@
 
     InstanceId self;
     QueueLookup findQueue;
-    NoteSink log;
+    DecisionLog log;
     std::vector<InstanceId> live;
     std::map<InstanceId, TimePoint> avoidedUntil;
     std::map<PieceGroupId, OutgoingGroup> outgoingGroups;
@@ -149,11 +149,12 @@
 void PieceBroker::Impl::sendToOwner(
     const InstanceId& owner, const ServiceId& service, PieceGroup group, TimePoint now, BrokerActions& out)
 {
-    PiecesAsked message { group.id, service, group.pieces, group.priority, group.goal - now, group.deadline - now,
-        group.preferredZone.value_or(AvailabilityZoneId()), group.crossZoneAfter - now, group.resultBytes };
+    PieceRequest message { group.id, service, group.pieces, group.priority, group.targetTime - now,
+        group.deadline - now, group.preferredZone.value_or(AvailabilityZoneId()), group.crossZoneAfter - now,
+        group.resultBytes };
     const auto id = group.id;
     outgoingGroups[id] = { service, std::move(group), owner, now, now };
-    out.emplace_back(TellInstance { owner, std::move(message) });
+    out.emplace_back(SendToInstance { owner, std::move(message) });
 }
 
 /// Forwards calls, and results to their requesters; all results for one group of a requester go in one message.
@@ -162,7 +163,7 @@
     const std::vector<BatchAction>& actions, TimePoint now, BrokerActions& out)
 {
     std::vector<PieceGroupId> finished;
-    std::map<std::pair<InstanceId, PieceGroupId>, PiecesMade> remoteResults;
+    std::map<std::pair<InstanceId, PieceGroupId>, PieceResults> remoteResults;
     for (const auto& it : actions) {
         if (const auto* send = std::get_if<SendBatch>(&it)) {
             out.emplace_back(*send);
@@ -189,7 +190,7 @@
     for (auto& it : remoteResults) {
         if (const auto* queue = findQueue(it.second.service))
             it.second.waits = queueWaits(*queue, 1, now);
-        out.emplace_back(TellInstance { it.first.first, std::move(it.second) });
+        out.emplace_back(SendToInstance { it.first.first, std::move(it.second) });
     }
     return finished;
 }
@@ -212,7 +213,7 @@
                 { "confirmed", entry.acknowledged ? "1" : "0" }, { "again", entry.reassigned ? "1" : "0" },
                 { "waited_ms", std::to_string(static_cast<long>(toMilliseconds(now - entry.sentAt))) } } });
     avoidedUntil[entry.owner] = now + silentOwnerBackoff;
-    out.emplace_back(TellInstance { entry.owner, PiecesCancelled { id } });
+    out.emplace_back(SendToInstance { entry.owner, PieceRequestCancel { id } });
     // The next candidate serves all requesters of the silent owner. Pieces are only processed locally if that candidate
     // is silent too, because separate calls from many instances would fill the servers' queues.
     if (entry.reassigned)
@@ -223,25 +224,27 @@
         retried->second.reassigned = true;
 }
 
-void PieceBroker::Impl::onRequest(const InstanceId& from, const PiecesAsked& request, TimePoint now, BrokerActions& out)
+void PieceBroker::Impl::onRequest(
+    const InstanceId& from, const PieceRequest& request, TimePoint now, BrokerActions& out)
 {
     auto* queue = findQueue(request.service);
     if (queue == nullptr)
         return;
-    PieceGroup group { PieceGroupId(++lastGroupId), request.pieces, request.priority, now + request.goalLeft,
-        now + request.timeLeft, std::nullopt, now + request.zoneLeft, request.resultBytes };
+    PieceGroup group { PieceGroupId(++lastGroupId), request.pieces, request.priority,
+        now + request.remainingTimeToTarget, now + request.remainingTime, std::nullopt,
+        now + request.remainingTimeInZone, request.resultBytes };
     if (!request.preferredZone.empty())
         group.preferredZone = request.preferredZone;
-    const PiecesTaken ack { request.group, queueWaits(*queue, request.pieces.size(), now) };
+    const PieceRequestAck ack { request.group, queueWaits(*queue, request.pieces.size(), now) };
     queuedGroups[group.id] = { from, request.group, request.service, request.pieces.size() };
     actingOwnerUntil[request.service] = now + actingOwnerLifetime;
-    out.emplace_back(TellInstance { from, ack });
+    out.emplace_back(SendToInstance { from, ack });
     std::vector<BatchAction> actions;
     queue->add(std::move(group), now, actions);
     applyActions(actions, now, out);
 }
 
-void PieceBroker::Impl::onAck(const InstanceId& from, const PiecesTaken& ack, TimePoint now)
+void PieceBroker::Impl::onAck(const InstanceId& from, const PieceRequestAck& ack, TimePoint now)
 {
     const auto it = outgoingGroups.find(ack.group);
     if (it == outgoingGroups.end() || it->second.owner != from)
@@ -250,7 +253,7 @@
     reportedWaits[it->second.service] = { ack.waits, now };
 }
 
-void PieceBroker::Impl::onCancel(const InstanceId& from, const PiecesCancelled& cancel)
+void PieceBroker::Impl::onCancel(const InstanceId& from, const PieceRequestCancel& cancel)
 {
     const auto it = std::find_if(queuedGroups.begin(), queuedGroups.end(), [&](const auto& entry) {
         return entry.second.requester == from && entry.second.requesterGroup == cancel.group;
@@ -262,7 +265,8 @@
     queuedGroups.erase(it);
 }
 
-void PieceBroker::Impl::onResults(const InstanceId& from, const PiecesMade& results, TimePoint now, BrokerActions& out)
+void PieceBroker::Impl::onResults(
+    const InstanceId& from, const PieceResults& results, TimePoint now, BrokerActions& out)
 {
     reportedWaits[results.service] = { results.waits, now };
     const auto it = outgoingGroups.find(results.group);
@@ -372,7 +376,7 @@
     }
 }
 
-PieceBroker::PieceBroker(InstanceId self, QueueLookup findQueue, NoteSink log)
+PieceBroker::PieceBroker(InstanceId self, QueueLookup findQueue, DecisionLog log)
     : m_impl(std::make_unique<Impl>(std::move(self), std::move(findQueue), std::move(log)))
 {
 }
@@ -393,14 +397,14 @@
     m_impl->handOver(now, out);
 }
 
-bool PieceBroker::gathers(const ServiceId& service, TimePoint now) const
+bool PieceBroker::actsAsOwner(const ServiceId& service, TimePoint now) const
 {
     const auto entry = m_impl->actingOwnerUntil.find(service);
     const bool acting = entry != m_impl->actingOwnerUntil.end() && entry->second > now;
     return acting || m_impl->ownerOf(service, now) == m_impl->self;
 }
 
-void PieceBroker::onLost(const InstanceId& instance, TimePoint now, BrokerActions& out)
+void PieceBroker::onConnectionLost(const InstanceId& instance, TimePoint now, BrokerActions& out)
 {
     std::vector<PieceGroupId> lost;
     for (const auto& it : m_impl->outgoingGroups) {
@@ -421,7 +425,7 @@
     return m_impl->ownerOf(service, now);
 }
 
-void PieceBroker::ask(const ServiceId& service, PieceGroup group, TimePoint now, BrokerActions& out)
+void PieceBroker::submit(const ServiceId& service, PieceGroup group, TimePoint now, BrokerActions& out)
 {
     const auto owner = ownerOf(service, now);
     if (owner == m_impl->self)
@@ -433,7 +437,7 @@
 void PieceBroker::cancel(PieceGroupId group, BrokerActions& out)
 {
     if (const auto it = m_impl->outgoingGroups.find(group); it != m_impl->outgoingGroups.end()) {
-        out.emplace_back(TellInstance { it->second.owner, PiecesCancelled { group } });
+        out.emplace_back(SendToInstance { it->second.owner, PieceRequestCancel { group } });
         m_impl->outgoingGroups.erase(it);
     }
     std::erase_if(m_impl->queuedGroups, [this, group](const auto& it) {
@@ -453,13 +457,13 @@
         if (it.second.owner == from)
             it.second.lastMessageAt = now;
     }
-    if (const auto* request = std::get_if<PiecesAsked>(&message))
+    if (const auto* request = std::get_if<PieceRequest>(&message))
         m_impl->onRequest(from, *request, now, out);
-    else if (const auto* ack = std::get_if<PiecesTaken>(&message))
+    else if (const auto* ack = std::get_if<PieceRequestAck>(&message))
         m_impl->onAck(from, *ack, now);
-    else if (const auto* cancel = std::get_if<PiecesCancelled>(&message))
+    else if (const auto* cancel = std::get_if<PieceRequestCancel>(&message))
         m_impl->onCancel(from, *cancel);
-    else if (const auto* results = std::get_if<PiecesMade>(&message))
+    else if (const auto* results = std::get_if<PieceResults>(&message))
         m_impl->onResults(from, *results, now, out);
     else if (const auto* release = std::get_if<ReleaseResults>(&message)) {
         m_impl->releaseLocally(*release, now);
@@ -482,10 +486,10 @@
     if (known || owner == m_impl->self)
         out.emplace_back(std::move(release));
     else
-        out.emplace_back(TellInstance { owner, std::move(release) });
+        out.emplace_back(SendToInstance { owner, std::move(release) });
 }
 
-void PieceBroker::onBatchEnd(const ServiceId& service, CallId call, BatchEnd end,
+void PieceBroker::onBatchEnd(const ServiceId& service, CallId call, BatchOutcome end,
     const std::vector<PieceResult>& results, TimePoint now, BrokerActions& out)
 {
     auto* queue = m_impl->findQueue(service);
@@ -496,7 +500,7 @@
     m_impl->applyActions(actions, now, out);
 }
 
-void PieceBroker::pump(const ServiceId& service, TimePoint now, BrokerActions& out)
+void PieceBroker::dispatch(const ServiceId& service, TimePoint now, BrokerActions& out)
 {
     auto* queue = m_impl->findQueue(service);
     if (queue == nullptr)
@@ -506,7 +510,7 @@
     m_impl->applyActions(actions, now, out);
 }
 
-void PieceBroker::onTime(TimePoint now, BrokerActions& out)
+void PieceBroker::onTimer(TimePoint now, BrokerActions& out)
 {
     std::vector<PieceGroupId> timedOut;
     for (const auto& it : m_impl->outgoingGroups) {
@@ -531,11 +535,11 @@
     }
     for (const auto& [requester, group] : requesters) {
         if (const auto* queue = findQueue(requester.second))
-            out.emplace_back(TellInstance { requester.first, PiecesTaken { group, queueWaits(*queue, 1, now) } });
+            out.emplace_back(SendToInstance { requester.first, PieceRequestAck { group, queueWaits(*queue, 1, now) } });
     }
 }
 
-TimePoint PieceBroker::nextTime() const
+TimePoint PieceBroker::nextTimerAt() const
 {
     auto next = TimePoint::max();
     for (const auto& it : m_impl->outgoingGroups)
@@ -554,7 +558,7 @@
     const auto reported = m_impl->reportedWaits.find(service);
     if (reported == m_impl->reportedWaits.end() || now - reported->second.receivedAt > reportedWaitsLifetime)
         return {};
-    return late ? reported->second.waits.late : reported->second.waits.timely.at(priorityIndex(priority));
+    return late ? reported->second.waits.late : reported->second.waits.byPriority.at(priorityIndex(priority));
 }
 
 } // namespace foxtailwheel::serving
--- a/src/foxtailwheel/serving/PieceBrokerTest.cpp
+++ b/src/foxtailwheel/serving/PieceBrokerTest.cpp
@@ -49,7 +49,8 @@
         options.zone = AvailabilityZoneId("a");
         it.pool = routing::ServerPool::create(service, {}, options);
         it.queue = std::make_unique<BatchQueue>(portal, limits, *it.pool,
-            BatchQueueEvents { [&it] { return CallId(++it.lastCall); }, [](std::size_t, TimePoint) { return true; } });
+            BatchQueueCallbacks {
+                [&it] { return CallId(++it.lastCall); }, [](std::size_t, TimePoint) { return true; } });
         it.broker = std::make_unique<PieceBroker>(
             id, [queue = it.queue.get()](const ServiceId& requested) { return requested == portal ? queue : nullptr; });
     }
@@ -65,8 +66,9 @@
         PieceGroup request { PieceGroupId(group), {}, 0, now + 2s, now + 6s, {}, now + 2s, 0 };
         for (std::uint32_t i = 0; i < pieces; ++i)
             request.pieces.push_back({ id.value() + "/" + std::to_string(group), 0, i, "k", {} });
-        execute(id, now,
-            [&](PieceBroker& broker, BrokerActions& actions) { broker.ask(portal, std::move(request), now, actions); });
+        execute(id, now, [&](PieceBroker& broker, BrokerActions& actions) {
+            broker.submit(portal, std::move(request), now, actions);
+        });
     }
 
     /// Ends all calls of an instance with results.
@@ -77,7 +79,7 @@
             for (const auto& it : call.pieces)
                 results.emplace_back(ResultHandle { it.request + "#" + std::to_string(it.index), call.server });
             execute(id, now, [&](PieceBroker& broker, BrokerActions& out) {
-                broker.onBatchEnd(portal, call.call, BatchEnd::Answered, results, now, out);
+                broker.onBatchEnd(portal, call.call, BatchOutcome::Answered, results, now, out);
             });
         }
     }
@@ -92,7 +94,7 @@
                 it.sent.push_back(*batch);
             else if (auto* done = std::get_if<PieceDone>(&action))
                 it.done.push_back(*done);
-            else if (auto* send = std::get_if<TellInstance>(&action);
+            else if (auto* send = std::get_if<SendToInstance>(&action);
                      send != nullptr && !disconnected.contains(send->to) && !disconnected.contains(id))
                 execute(send->to, now,
                     [&](PieceBroker& broker, BrokerActions& out) { broker.onMessage(id, send->message, now, out); });
@@ -152,11 +154,11 @@
     }
     for (const auto& id : cluster.ids) {
         if (id != owner)
-            cluster.execute(
-                id, start + 300ms, [&](PieceBroker& broker, BrokerActions& out) { broker.onTime(start + 300ms, out); });
+            cluster.execute(id, start + 300ms,
+                [&](PieceBroker& broker, BrokerActions& out) { broker.onTimer(start + 300ms, out); });
     }
     const auto successor = cluster.instances.at(cluster.nonOwner()).broker->ownerOf(portal, start + 300ms);
-    cr_assert(cluster.instances.at(successor).broker->gathers(portal, start + 300ms));
+    cr_assert(cluster.instances.at(successor).broker->actsAsOwner(portal, start + 300ms));
     for (int i = 1; i < 4; ++i)
         cluster.finishCalls(successor, start + 300ms + i * 400ms);
     for (const auto& id : cluster.ids) {
@@ -178,7 +180,7 @@
     cluster.submit(id, 1, 2, start);
     for (const auto after : { 300ms, 600ms })
         cluster.execute(
-            id, start + after, [&](PieceBroker& broker, BrokerActions& out) { broker.onTime(start + after, out); });
+            id, start + after, [&](PieceBroker& broker, BrokerActions& out) { broker.onTimer(start + after, out); });
     cr_assert_eq(cluster.instances.at(id).sent.size(), 1);
     cluster.finishCalls(id, start + 900ms);
     cr_assert_eq(cluster.instances.at(id).done.size(), 2);
@@ -252,8 +254,8 @@
     cluster.submit(id, 1, 2, start);
     cr_assert_eq(cluster.instances.at(owner).sent.size(), 1);
     cluster.disconnected.insert(owner);
-    cluster.execute(
-        id, start + 50ms, [&](PieceBroker& broker, BrokerActions& out) { broker.onLost(owner, start + 50ms, out); });
+    cluster.execute(id, start + 50ms,
+        [&](PieceBroker& broker, BrokerActions& out) { broker.onConnectionLost(owner, start + 50ms, out); });
     const auto successor = cluster.instances.at(id).broker->ownerOf(portal, start + 50ms);
     cr_assert_neq(successor, owner);
     cluster.finishCalls(successor, start + 300ms);
@@ -269,7 +271,7 @@
     for (int i = 1; i < 11; ++i) {
         for (const auto& it : cluster.ids)
             cluster.execute(it, start + i * 500ms,
-                [&](PieceBroker& broker, BrokerActions& out) { broker.onTime(start + i * 500ms, out); });
+                [&](PieceBroker& broker, BrokerActions& out) { broker.onTimer(start + i * 500ms, out); });
     }
     cr_assert_eq(cluster.instances.at(id).lastCall, 0);
     cr_assert_eq(cluster.instances.at(cluster.nonOwner(1)).lastCall, 0);
@@ -281,11 +283,11 @@
     const auto id = cluster.nonOwner();
     cluster.submit(id, 1, 1, start);
     cluster.disconnected.insert(cluster.owner());
-    cluster.execute(id, start + 1s, [&](PieceBroker& broker, BrokerActions& out) { broker.onTime(start + 1s, out); });
+    cluster.execute(id, start + 1s, [&](PieceBroker& broker, BrokerActions& out) { broker.onTimer(start + 1s, out); });
     const auto successor = [&] { return cluster.instances.at(id).broker->ownerOf(portal, start + 1400ms); };
     cr_assert_eq(successor(), cluster.owner());
     cluster.execute(
-        id, start + 1400ms, [&](PieceBroker& broker, BrokerActions& out) { broker.onTime(start + 1400ms, out); });
+        id, start + 1400ms, [&](PieceBroker& broker, BrokerActions& out) { broker.onTimer(start + 1400ms, out); });
     cr_assert_neq(successor(), cluster.owner());
     cr_assert_eq(cluster.instances.at(successor()).sent.size(), 1);
 }
--- a/src/foxtailwheel/serving/PoolPolicy.cpp
+++ b/src/foxtailwheel/serving/PoolRunPolicy.cpp
@@ -1,4 +1,4 @@
-#include "PoolPolicy.h"
+#include "PoolRunPolicy.h"
 
 #include <algorithm>
 
@@ -18,7 +18,7 @@
     /// instance uses, which breaks all calls in progress there.
     constexpr double retryBudgetCapacity = 32;
 
-    const routing::ServerPool* poolOf(const Catalog& snapshot, const ServiceId& service)
+    const routing::ServerPool* poolOf(const ConfigSnapshot& snapshot, const ServiceId& service)
     {
         const auto it = snapshot.pools.find(service);
         return it == snapshot.pools.end() ? nullptr : it->second.get();
@@ -26,46 +26,47 @@
 
 } // namespace
 
-PoolPolicy::PoolPolicy(std::function<std::shared_ptr<const Catalog>()> currentSnapshot, bool hedging, double retryRatio)
+PoolRunPolicy::PoolRunPolicy(
+    std::function<std::shared_ptr<const ConfigSnapshot>()> currentSnapshot, bool hedging, double retryRatio)
     : m_currentSnapshot(std::move(currentSnapshot))
     , m_hedging(hedging)
     , m_retryBudget(retryRatio, retryRatio > 0 ? retryBudgetCapacity : 0)
 {
 }
 
-Duration PoolPolicy::expectedTime(const pipeline::Stage& stage) const
+Duration PoolRunPolicy::expectedTime(const pipeline::Stage& stage) const
 {
     const auto snapshot = m_currentSnapshot();
     const auto* pool = poolOf(*snapshot, stage.service);
-    return pool == nullptr ? stage.typicalTime : pool->expectedTime();
+    return pool == nullptr ? stage.typicalTime : pool->expectedCallTime();
 }
 
-std::optional<Duration> PoolPolicy::hedgeDelay(const pipeline::Stage& stage) const
+std::optional<Duration> PoolRunPolicy::hedgeDelay(const pipeline::Stage& stage) const
 {
     if (!m_hedging)
         return std::nullopt;
     const auto fallback = fromSeconds(toSeconds(stage.typicalTime) * hedgeFallbackFactor);
     const auto snapshot = m_currentSnapshot();
     const auto* pool = poolOf(*snapshot, stage.service);
-    const auto delay = pool == nullptr ? fallback : pool->timeQuantile(hedgeQuantile, fallback);
+    const auto delay = pool == nullptr ? fallback : pool->callTimeQuantile(hedgeQuantile, fallback);
     return std::max(delay, minHedgeDelay);
 }
 
-Duration PoolPolicy::progressLimit(const pipeline::Stage& /*stage*/) const
+Duration PoolRunPolicy::progressTimeout(const pipeline::Stage& /*stage*/) const
 {
     return streamSilenceTimeout;
 }
 
-bool PoolPolicy::takeExtra(const pipeline::Stage& /*stage*/, bool costly)
+bool PoolRunPolicy::tryAcquireRetry(const pipeline::Stage& /*stage*/, bool costly)
 {
     const std::lock_guard lock(m_mutex);
-    return m_retryBudget.take(costly ? 1 : unstartedRetryCost);
+    return m_retryBudget.tryAcquire(costly ? 1 : unstartedRetryCost);
 }
 
-void PoolPolicy::earn(double utilization)
+void PoolRunPolicy::recordFirstAttempt(double utilization)
 {
     const std::lock_guard lock(m_mutex);
-    m_retryBudget.earn(utilization);
+    m_retryBudget.onFirstAttempt(utilization);
 }
 
 } // namespace foxtailwheel::serving
--- a/src/foxtailwheel/serving/RoutingForwarder.h
+++ b/src/foxtailwheel/serving/RoutingForwarder.h
@@ -2,7 +2,7 @@
 
 #include "ForwardRun.h"
 #include "ServerDirectory.h"
-#include "foxtailwheel/base/SmoothedTime.h"
+#include "foxtailwheel/base/SmoothedLatency.h"
 #include "foxtailwheel/serving/Forwarder.h"
 
 #include <map>
@@ -14,7 +14,7 @@
 std::string formatInteger(double n);
 
 /// @brief HTTP status of a response that the forwarder itself creates.
-unsigned httpStatus(ForwardEnd outcome);
+unsigned httpStatus(ForwardOutcome outcome);
 
 /// @brief Purpose of a timer.
 enum class TimerKind { Deadline, FindServer, Hedge, StreamSilence, Dispatch };
@@ -49,7 +49,7 @@
         : m_options(std::move(options))
         , m_directory(m_options, [this] { return allocateCallId(); })
         , m_broker(
-              m_options.pools.self, [this](const ServiceId& id) { return findQueue(id); }, m_options.note)
+              m_options.pools.self, [this](const ServiceId& id) { return findQueue(id); }, m_options.decisionLog)
         , m_random(m_options.pools.seed)
     {
     }
@@ -63,24 +63,25 @@
     }
     void setMembers(const std::vector<InstanceId>& live, const std::vector<InstanceId>& owners,
         const std::set<InstanceId>& removed, TimePoint now, ForwardActions& out) override;
-    void onPeer(const InstanceId& from, const PieceMessage& message, TimePoint now, ForwardActions& out) override;
-    void onPeerLost(const InstanceId& instance, TimePoint now, ForwardActions& out) override;
+    void onPeerMessage(
+        const InstanceId& from, const PieceMessage& message, TimePoint now, ForwardActions& out) override;
+    void onPeerConnectionLost(const InstanceId& instance, TimePoint now, ForwardActions& out) override;
     void stopAccepting() override { m_accepting = false; }
-    ForwardId newRequest() override { return ForwardId(++m_lastRunId); }
+    ForwardId allocateRequestId() override { return ForwardId(++m_lastRunId); }
     void submit(ForwardId id, ForwardRequest request, TimePoint now, ForwardActions& out) override;
-    void onCallerLeft(ForwardId id, TimePoint now, ForwardActions& out) override;
-    void onHead(CallId call, http::Response head, TimePoint now, ForwardActions& out) override;
-    void onData(CallId call, std::string_view bytes, TimePoint now, ForwardActions& out) override;
-    void onEnd(
-        CallId call, ForwardCallEnd outcome, http::Response response, TimePoint now, ForwardActions& out) override;
-    void onBatchEnd(CallId call, BatchEnd outcome, const std::vector<PieceResult>& results, TimePoint now,
+    void onCallerDisconnected(ForwardId id, TimePoint now, ForwardActions& out) override;
+    void onResponseHead(CallId call, http::Response head, TimePoint now, ForwardActions& out) override;
+    void onResponseData(CallId call, std::string_view bytes, TimePoint now, ForwardActions& out) override;
+    void onCallEnd(
+        CallId call, ForwardCallOutcome outcome, http::Response response, TimePoint now, ForwardActions& out) override;
+    void onBatchEnd(CallId call, BatchOutcome outcome, const std::vector<PieceResult>& results, TimePoint now,
         ForwardActions& out) override;
-    void onLoad(CallId call, const ToldLoad& load, TimePoint now) override;
-    void onTime(TimePoint now, ForwardActions& out) override;
-    TimePoint nextTime() const override
+    void onLoadReport(CallId call, const ReportedLoad& load, TimePoint now) override;
+    void onTimer(TimePoint now, ForwardActions& out) override;
+    TimePoint nextTimerAt() const override
     {
         const auto timer = m_timers.empty() ? TimePoint::max() : m_timers.begin()->first;
-        return std::min(timer, m_broker.nextTime());
+        return std::min(timer, m_broker.nextTimerAt());
     }
     ForwarderStatus status(TimePoint now) const override;
 
@@ -95,7 +96,7 @@
     void logDecision(const ForwardRun& run, std::string_view event,
         std::vector<std::pair<std::string_view, std::string>> fields) const;
 
-    std::optional<ForwardEnd> authorize(ForwardRun& run, TimePoint now) const;
+    std::optional<ForwardOutcome> authorize(ForwardRun& run, TimePoint now) const;
     ServiceId pickService(const ForwardRun& run);
     void start(ForwardRun& run, TimePoint now, ForwardActions& out);
     Duration timeSpentOnEarlierAttempts(const ForwardRun& run, TimePoint now);
@@ -127,17 +128,17 @@
     std::optional<std::uint64_t> affinityOf(const ForwardRun& run) const;
     bool trySend(ForwardRun& run, bool retry, TimePoint now, ForwardActions& out);
     void closeCall(
-        ForwardRun& run, CallId call, routing::CallSign outcome, bool stop, TimePoint now, ForwardActions& out);
-    void onCallNotRun(ForwardRun& run, ForwardCallEnd outcome, TimePoint now, ForwardActions& out);
-    void onCallBroken(ForwardRun& run, ForwardCallEnd outcome, TimePoint now, ForwardActions& out);
+        ForwardRun& run, CallId call, routing::CallOutcome outcome, bool stop, TimePoint now, ForwardActions& out);
+    void onCallNotRun(ForwardRun& run, ForwardCallOutcome outcome, TimePoint now, ForwardActions& out);
+    void onCallBroken(ForwardRun& run, ForwardCallOutcome outcome, TimePoint now, ForwardActions& out);
     void resendRequest(ForwardRun& run, TimePoint now, ForwardActions& out);
     void onResponseComplete(ForwardRun& run, http::Response response, TimePoint now, ForwardActions& out);
     void failOverStream(ForwardRun& run, TimePoint now, ForwardActions& out);
 
-    void refuse(ForwardRun& run, ForwardEnd outcome, Duration retryAfter, TimePoint now, ForwardActions& out);
-    void finishStream(ForwardRun& run, ForwardEnd outcome, TimePoint now, ForwardActions& out);
+    void refuse(ForwardRun& run, ForwardOutcome outcome, Duration retryAfter, TimePoint now, ForwardActions& out);
+    void finishStream(ForwardRun& run, ForwardOutcome outcome, TimePoint now, ForwardActions& out);
     void closeRun(ForwardRun& run, TimePoint now, ForwardActions& out);
-    void fail(ForwardRun& run, ForwardEnd outcome, TimePoint now, ForwardActions& out);
+    void fail(ForwardRun& run, ForwardOutcome outcome, TimePoint now, ForwardActions& out);
     void handleTimer(const Timer& timer, TimePoint now, ForwardActions& out);
     void onDeadline(ForwardRun& run, TimePoint now, ForwardActions& out);
 
@@ -154,7 +155,7 @@
     std::unordered_map<PieceGroupId, StageRef> m_groups;
     std::multimap<TimePoint, Timer> m_timers;
     std::unordered_map<std::string, CallerTimeout> m_callerTimeouts; ///< By route.
-    std::unordered_map<std::string, SmoothedTime>
+    std::unordered_map<std::string, SmoothedLatency>
         m_timesToFirstByte; ///< From sending a call to the head of its response, by route.
     std::map<ServiceId, TimePoint> m_dispatchTimers; ///< Next dispatch of each service's queue.
     TimePoint m_credentialsConfirmedAt {};
--- a/src/foxtailwheel/serving/ServerDirectory.cpp
+++ b/src/foxtailwheel/serving/ServerDirectory.cpp
@@ -34,7 +34,7 @@
 {
     config::Service out;
     out.id = service.id;
-    out.kind = service.promptRoomTokens > 0 ? config::ServiceKind::ModelEngine : config::ServiceKind::Plain;
+    out.kind = service.kvCacheTokens > 0 ? config::ServiceKind::ModelEngine : config::ServiceKind::Plain;
     out.typicalTime = service.batch ? service.batch->callTime + service.batch->pieceTime : typicalCallTime;
     out.concurrency = service.batch ? service.batch->slots : service.slots;
     for (const auto& it : servers) {
@@ -60,13 +60,15 @@
 ServiceState ServerDirectory::makeState(const config::RoutedService& service)
 {
     auto pool = routing::ServerPool::create(toService(service, {}), {}, m_options.pools);
-    limits::WindowBudget retryBudget(m_options.retryShare, m_options.retryExtra, m_options.retryWindow);
-    retryBudget.setInstances(m_instanceCount);
+    limits::SlidingWindowRetryBudget retryBudget(
+        m_options.retryBudgetFraction, m_options.retryBudgetReserve, m_options.retryWindow);
+    retryBudget.setInstanceCount(m_instanceCount);
     std::unique_ptr<BatchQueue> batchQueue;
     if (service.batch)
         batchQueue = std::make_unique<BatchQueue>(service.id, *service.batch, *pool,
-            BatchQueueEvents { m_allocateCallId,
-                [this, id = service.id](std::size_t n, TimePoint now) { return find(id)->retryBudget.take(n, now); } });
+            BatchQueueCallbacks { m_allocateCallId, [this, id = service.id](std::size_t n, TimePoint now) {
+                                     return find(id)->retryBudget.tryAcquire(n, now);
+                                 } });
     return { std::move(pool), std::move(retryBudget), std::move(batchQueue), {} };
 }
 
@@ -132,7 +134,7 @@
 {
     m_instanceCount = std::max<std::size_t>(1, n);
     for (auto& it : m_services)
-        it.second.retryBudget.setInstances(m_instanceCount);
+        it.second.retryBudget.setInstanceCount(m_instanceCount);
 }
 
 ServiceState* ServerDirectory::find(const ServiceId& id)
--- a/src/foxtailwheel/serving/ServerDirectory.h
+++ b/src/foxtailwheel/serving/ServerDirectory.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "foxtailwheel/limits/WindowBudget.h"
+#include "foxtailwheel/limits/SlidingWindowRetryBudget.h"
 #include "foxtailwheel/serving/Forwarder.h"
 
 #include <functional>
@@ -12,7 +12,7 @@
 /// @brief One routed service: its server pool, retry budget and queue of pieces.
 struct ServiceState {
     std::unique_ptr<routing::ServerPool> pool;
-    limits::WindowBudget retryBudget;
+    limits::SlidingWindowRetryBudget retryBudget;
     std::unique_ptr<BatchQueue> batchQueue; ///< Null for services that no stage uses.
     std::vector<AnnouncedServer> announced;
 };
--- a/src/foxtailwheel/serving/ZoneForecast.cpp
+++ b/src/foxtailwheel/serving/ZoneForecast.cpp
@@ -10,7 +10,7 @@
     times.insert(std::upper_bound(times.begin(), times.end(), availableAt), availableAt);
 }
 
-TimePoint ZoneForecast::madeBy(const AvailabilityZoneId& zone, std::size_t piecesAhead) const
+TimePoint ZoneForecast::estimateCompletion(const AvailabilityZoneId& zone, std::size_t piecesAhead) const
 {
     const auto servers = m_availableAt.find(zone);
     if (servers == m_availableAt.end())
--- a/src/foxtailwheel/standin/Backend.cpp
+++ b/src/foxtailwheel/standin/Backend.cpp
@@ -150,7 +150,7 @@
 
     void BackendStandIn::enqueueOrStart(const CallPtr& call)
     {
-        call->responder->onGone([weak = std::weak_ptr<Call>(call)] {
+        call->responder->onDisconnect([weak = std::weak_ptr<Call>(call)] {
             if (const auto it = weak.lock())
                 it->disconnected = true;
         });
@@ -188,7 +188,7 @@
         }
         recordExecution(call->request);
         const bool delayed = call->fault && call->fault->kind == FaultKind::Late;
-        m_pool.after(
+        m_pool.postAfter(
             m_options.callTime + (delayed ? call->fault->delay : Duration {}), [this, call] { finishUnary(call); });
     }
 
@@ -212,15 +212,15 @@
     {
         const auto body = json::parse(call->request.body, nullptr, false);
         call->prompt = body.is_object() && body.contains("prompt") ? body["prompt"].dump() : "";
-        call->tokenCount = std::min(countAt(body, "max_tokens"), maxTokens);
-        call->nextToken = body.is_object() && body.contains("resume") ? countAt(body["resume"], "offset") : 0;
+        call->tokenCount = std::min(unsignedAt(body, "max_tokens"), maxTokens);
+        call->nextToken = body.is_object() && body.contains("resume") ? unsignedAt(body["resume"], "offset") : 0;
         recordCachedPrefix(call->prompt);
         recordExecution(call->request);
         auto headers = loadHeaders();
         headers.front().value = "text/event-stream";
         call->responder->beginStream({ 200, std::move(headers), {} });
         const bool delayed = call->fault && call->fault->kind == FaultKind::Late;
-        m_pool.after(delayed ? call->fault->delay : Duration {}, [this, call] { sendNextChunk(call); });
+        m_pool.postAfter(delayed ? call->fault->delay : Duration {}, [this, call] { sendNextChunk(call); });
     }
 
     void BackendStandIn::sendNextChunk(const CallPtr& call)
@@ -246,7 +246,7 @@
         call->responder->write(makeChunk(call->prompt, call->nextToken, to));
         const auto n = to - call->nextToken;
         call->nextToken = to;
-        m_pool.after(m_options.tokenTime * n, [this, call] { sendNextChunk(call); });
+        m_pool.postAfter(m_options.tokenTime * n, [this, call] { sendNextChunk(call); });
     }
 
     std::string BackendStandIn::makeResponseBody(const Request& request) const
@@ -303,7 +303,7 @@
     http::Response BackendStandIn::handleOrder(const Request& request)
     {
         const auto body = json::parse(request.body, nullptr, false);
-        const auto fencingToken = countAt(body, "fencing");
+        const auto fencingToken = unsignedAt(body, "fencing");
         const std::lock_guard lock(m_mutex);
         if (m_options.service.fencing == config::Fencing::Checked && fencingToken < m_highestFencingToken)
             return { 409, {}, json { { "fencing", m_highestFencingToken } }.dump() };
@@ -321,7 +321,7 @@
     return std::string(words.at(hashOf(prompt, index) % words.size())) + " ";
 }
 
-std::string textOf(const std::string& prompt, std::uint64_t count)
+std::string generatedText(const std::string& prompt, std::uint64_t count)
 {
     std::string text;
     for (std::uint64_t i = 0; i < count; ++i)
@@ -334,7 +334,7 @@
     http::ServerOptions serverOptions;
     serverOptions.listen = { options.server.host, options.server.port };
     serverOptions.maxBodyBytes = 64U << 20U;
-    serverOptions.maxUnreadBytes = 16U << 20U;
+    serverOptions.maxQueuedBytes = 16U << 20U;
     auto backend = std::make_unique<BackendStandIn>(pool, std::move(options));
     auto* raw = backend.get();
     BOOST_OUTCOME_TRY(auto server,
--- a/src/foxtailwheel/standin/FaultInjector.cpp
+++ b/src/foxtailwheel/standin/FaultInjector.cpp
@@ -27,8 +27,8 @@
     const auto name = std::find(kindNames.begin(), kindNames.end(), textAt(node, "kind"));
     if (name == kindNames.end())
         return false;
-    const auto delay = std::chrono::milliseconds(countAt(node, "delay_ms"));
-    setFault({ static_cast<FaultKind>(name - kindNames.begin()), delay }, countAt(node, "count", 1));
+    const auto delay = std::chrono::milliseconds(unsignedAt(node, "delay_ms"));
+    setFault({ static_cast<FaultKind>(name - kindNames.begin()), delay }, unsignedAt(node, "count", 1));
     return true;
 }
 
--- a/src/foxtailwheel/standin/InstanceList.cpp
+++ b/src/foxtailwheel/standin/InstanceList.cpp
@@ -119,7 +119,7 @@
         void handle(const std::shared_ptr<Responder>& responder)
         {
             const std::lock_guard lock(m_mutex);
-            const bool allowed = m_loadRateLimiter.take(1, m_clock.now());
+            const bool allowed = m_loadRateLimiter.tryAcquire(1, m_clock.now());
             responder->respond({ allowed ? 200U : 429U, {}, allowed ? "weights" : "too many loads" });
         }
         void setServer(std::unique_ptr<http::Server> server) { m_server = std::move(server); }
--- a/src/foxtailwheel/standin/Table.cpp
+++ b/src/foxtailwheel/standin/Table.cpp
@@ -57,7 +57,7 @@
     bool TableStandIn::admit(bool isWrite)
     {
         const std::lock_guard lock(m_mutex);
-        return (isWrite ? m_writes : m_reads).take(1, m_clock.now());
+        return (isWrite ? m_writes : m_reads).tryAcquire(1, m_clock.now());
     }
 
     http::Response TableStandIn::transact(const std::string& body)
@@ -72,7 +72,7 @@
             const auto key = textAt(it, "key");
             const auto found = m_rows.find(key);
             const std::uint64_t version = found == m_rows.end() ? 0 : found->second.version;
-            if (version == countAt(it, "version"))
+            if (version == unsignedAt(it, "version"))
                 continue;
             conditionsMet = false;
             if (found != m_rows.end())
--- a/src/foxtailwheel/store/InstanceListClient.cpp
+++ b/src/foxtailwheel/store/InstanceListClient.cpp
@@ -8,9 +8,9 @@
 
     using nlohmann::json;
 
-    ListResult parseInstanceList(const std::string& body)
+    InstanceListResult parseInstanceList(const std::string& body)
     {
-        ListResult result;
+        InstanceListResult result;
         const auto root = json::parse(body, nullptr, false);
         if (!root.is_object() || !root.contains("instances"))
             return result;
@@ -20,14 +20,14 @@
             entry.zone = AvailabilityZoneId(textAt(it, "zone"));
             entry.region = textAt(it, "region");
             entry.leaving = flagAt(it, "leaving");
-            if (!entry.id.empty() && config::parseEndpoint(textAt(it, "peers"), entry.peers))
+            if (!entry.id.empty() && config::parseEndpoint(textAt(it, "peers"), entry.endpoint))
                 result.instances.push_back(std::move(entry));
         }
         for (const auto& it : arrayAt(root, "leaving_servers")) {
             if (it.is_string())
                 result.leavingServers.emplace_back(it.get<std::string>());
         }
-        result.answered = true;
+        result.succeeded = true;
         return result;
     }
 
@@ -39,13 +39,14 @@
         {
         }
 
-        void fetch(TimePoint deadline, std::function<void(ListResult)> done) override
+        void fetch(TimePoint deadline, std::function<void(InstanceListResult)> done) override
         {
             http::CallRequest call { m_server, { "GET", "/v1/instances", {}, {} }, deadline, deadline, true };
-            http::CallEvents events;
+            http::CallCallbacks events;
             events.onDone = [done = std::move(done)](const http::CallResult& result) {
-                const bool succeeded = result.end == http::CallEnd::Complete && result.response.status == 200;
-                done(succeeded ? parseInstanceList(result.response.body) : ListResult());
+                const bool succeeded
+                    = result.outcome == http::TransportOutcome::Complete && result.response.status == 200;
+                done(succeeded ? parseInstanceList(result.response.body) : InstanceListResult());
             };
             m_client.start(std::move(call), std::move(events));
         }
@@ -53,11 +54,11 @@
         void announce(const ListedInstance& self, TimePoint deadline) override
         {
             const json body { { "id", self.id.value() }, { "zone", self.zone.value() }, { "region", self.region },
-                { "peers", self.peers.toString() }, { "leaving", self.leaving } };
+                { "peers", self.endpoint.toString() }, { "leaving", self.leaving } };
             http::CallRequest call { m_server,
                 { "PUT", "/v1/instances/" + http::percentEncode(self.id.value()), {}, body.dump() }, deadline, deadline,
                 true };
-            http::CallEvents events;
+            http::CallCallbacks events;
             events.onDone = [](const http::CallResult&) {};
             m_client.start(std::move(call), std::move(events));
         }
--- a/src/foxtailwheel/store/TableClient.cpp
+++ b/src/foxtailwheel/store/TableClient.cpp
@@ -29,7 +29,7 @@
         if (!root.is_object() || !root.contains("rows") || !root["rows"].is_array())
             return false;
         for (const auto& it : root["rows"]) {
-            rows.push_back({ textAt(it, "key"), textAt(it, "value"), countAt(it, "version") });
+            rows.push_back({ textAt(it, "key"), textAt(it, "value"), unsignedAt(it, "version") });
         }
         return true;
     }
@@ -77,17 +77,17 @@
     TransactResult HttpTable::classifyResponse(const http::CallResult& result)
     {
         TransactResult transactResult;
-        if (result.end == http::CallEnd::NotSent)
+        if (result.outcome == http::TransportOutcome::NotSent)
             return transactResult;
-        transactResult.end = TransactEnd::Ambiguous;
-        if (result.end != http::CallEnd::Complete)
+        transactResult.outcome = TransactOutcome::Ambiguous;
+        if (result.outcome != http::TransportOutcome::Complete)
             return transactResult;
         if (result.response.status == 200)
-            transactResult.end = TransactEnd::Applied;
+            transactResult.outcome = TransactOutcome::Applied;
         else if (result.response.status == 409 && parseRows(result.response.body, transactResult.conflicts))
-            transactResult.end = TransactEnd::ConditionFailed;
+            transactResult.outcome = TransactOutcome::ConditionFailed;
         else if (result.response.status == 400 || result.response.status == 429 || result.response.status == 503)
-            transactResult.end = TransactEnd::NotApplied;
+            transactResult.outcome = TransactOutcome::NotApplied;
         return transactResult;
     }
 
@@ -100,11 +100,11 @@
         http::CallRequest call { m_server,
             { "POST", "/v1/transact", { { "Content-Type", "application/json" } }, toJson(transaction).dump() },
             deadline, deadline, false };
-        http::CallEvents events;
+        http::CallCallbacks events;
         events.onDone = [this, done = std::move(done)](const http::CallResult& result) {
             const auto transactResult = classifyResponse(result);
-            onCallEnded(
-                transactResult.end == TransactEnd::Applied || transactResult.end == TransactEnd::ConditionFailed);
+            onCallEnded(transactResult.outcome == TransactOutcome::Applied
+                || transactResult.outcome == TransactOutcome::ConditionFailed);
             done(transactResult);
         };
         m_client.start(std::move(call), std::move(events));
@@ -117,12 +117,12 @@
             return;
         }
         http::CallRequest call { m_server, { "GET", std::move(target), {}, {} }, deadline, deadline, true };
-        http::CallEvents events;
+        http::CallCallbacks events;
         events.onDone = [this, done = std::move(done)](const http::CallResult& result) {
             ReadResult readResult;
-            const bool succeeded = result.end == http::CallEnd::Complete && result.response.status == 200;
-            readResult.answered = succeeded && parseRows(result.response.body, readResult.rows);
-            onCallEnded(readResult.answered);
+            const bool succeeded = result.outcome == http::TransportOutcome::Complete && result.response.status == 200;
+            readResult.succeeded = succeeded && parseRows(result.response.body, readResult.rows);
+            onCallEnded(readResult.succeeded);
             done(std::move(readResult));
         };
         m_client.start(std::move(call), std::move(events));
--- a/src/foxtailwheel/telemetry/LineWriter.cpp
+++ b/src/foxtailwheel/telemetry/LineWriter.cpp
@@ -94,7 +94,7 @@
     auto it = m_events.find(event);
     if (it == m_events.end())
         it = m_events.emplace(std::string(event), EventState { { m_perSecond, m_burst, now }, 0 }).first;
-    if (it->second.bucket.take(1, now))
+    if (it->second.bucket.tryAcquire(1, now))
         return true;
     ++it->second.suppressed;
     return false;
--- a/src/foxtailwheel/telemetry/Metrics.cpp
+++ b/src/foxtailwheel/telemetry/Metrics.cpp
@@ -68,28 +68,28 @@
 
     class ShardedMetrics final : public Metrics {
     public:
-        void count(const std::string& name, const Labels& labels, double n) override
+        void increment(const std::string& name, const Labels& labels, double n) override
         {
             auto& shard = shardFor(name);
             const std::lock_guard lock(shard.mutex);
             shard.counters[makeSeriesKey(name, labels)] += n;
         }
 
-        void gauge(const std::string& name, const Labels& labels, double value) override
+        void setGauge(const std::string& name, const Labels& labels, double value) override
         {
             auto& shard = shardFor(name);
             const std::lock_guard lock(shard.mutex);
             shard.gauges[makeSeriesKey(name, labels)] = value;
         }
 
-        void time(const std::string& name, const Labels& labels, Duration d) override
+        void observeDuration(const std::string& name, const Labels& labels, Duration d) override
         {
             auto& shard = shardFor(name);
             const std::lock_guard lock(shard.mutex);
             shard.durations.try_emplace(makeSeriesKey(name, labels), makeDurationSummary()).first->second(toSeconds(d));
         }
 
-        std::string text() const override;
+        std::string serialize() const override;
 
     private:
         Shard& shardFor(const std::string& name) { return m_shards.at(hashOf(name) % shardCount); }
@@ -115,7 +115,7 @@
         }
     }
 
-    std::string ShardedMetrics::text() const
+    std::string ShardedMetrics::serialize() const
     {
         Families families;
         for (const auto& it : m_shards)
--- a/src/foxtailwheel/testing/FaultWorld.cpp
+++ b/src/foxtailwheel/testing/FaultSimulation.cpp
@@ -1,6 +1,6 @@
-#include "FaultWorld.h"
+#include "FaultSimulation.h"
 
-#include "Declared.h"
+#include "TestDeclarations.h"
 
 #include <algorithm>
 
@@ -32,22 +32,22 @@
 
 } // namespace
 
-void FaultCounts::add(const FaultCounts& other)
+void OutcomeCounts::add(const OutcomeCounts& other)
 {
     requests += other.requests;
     answered += other.answered;
     notRun += other.notRun;
     unknown += other.unknown;
-    lost += other.lost;
-    doubled += other.doubled;
-    crossed += other.crossed;
-    wrongNotRun += other.wrongNotRun;
-    effects += other.effects;
+    unanswered += other.unanswered;
+    duplicates += other.duplicates;
+    mismatches += other.mismatches;
+    falseNotRun += other.falseNotRun;
+    executedBookings += other.executedBookings;
     attempts += other.attempts;
     firstAttempts += other.firstAttempts;
 }
 
-struct FaultWorld::RequestState {
+struct FaultSimulation::RequestState {
     std::size_t number = 0;
     std::size_t instance = 0;
     std::string body;
@@ -57,17 +57,17 @@
     std::string text;
 };
 
-struct FaultWorld::FakeInstance {
+struct FaultSimulation::FakeInstance {
     std::unique_ptr<serving::Dispatcher> dispatcher;
-    std::unique_ptr<control::ClaimKeeper> claims;
+    std::unique_ptr<control::ClaimStore> claims;
     bool alive = true;
 };
 
 /// In-memory table with injected faults: unavailability, responses lost before or after the write is applied, and
 /// writes that are applied after the deadline.
-class FaultWorld::FakeTable final : public store::Table {
+class FaultSimulation::FakeTable final : public store::Table {
 public:
-    explicit FakeTable(FaultWorld& simulation)
+    explicit FakeTable(FaultSimulation& simulation)
         : m_simulation(simulation)
     {
     }
@@ -83,23 +83,23 @@
 private:
     store::TransactResult apply(const store::Transaction& transaction);
 
-    FaultWorld& m_simulation;
+    FaultSimulation& m_simulation;
     std::map<std::string, store::Row> m_rows;
 };
 
-store::TransactResult FaultWorld::FakeTable::apply(const store::Transaction& transaction)
+store::TransactResult FaultSimulation::FakeTable::apply(const store::Transaction& transaction)
 {
-    store::TransactResult result { store::TransactEnd::Applied, {} };
+    store::TransactResult result { store::TransactOutcome::Applied, {} };
     for (const auto& it : transaction.conditions) {
         const auto found = m_rows.find(it.key);
         const std::uint64_t version = found == m_rows.end() ? 0 : found->second.version;
         if (version == it.version.value_or(0))
             continue;
-        result.end = store::TransactEnd::ConditionFailed;
+        result.outcome = store::TransactOutcome::ConditionFailed;
         if (found != m_rows.end())
             result.conflicts.push_back(found->second);
     }
-    if (result.end != store::TransactEnd::Applied)
+    if (result.outcome != store::TransactOutcome::Applied)
         return result;
     for (const auto& it : transaction.writes) {
         if (!it.value) {
@@ -112,31 +112,31 @@
     return result;
 }
 
-void FaultWorld::FakeTable::transact(
+void FaultSimulation::FakeTable::transact(
     store::Transaction transaction, TimePoint deadline, std::function<void(store::TransactResult)> done)
 {
     auto& random = m_simulation.m_random;
     const auto timeout = std::max<Duration>(deadline - m_simulation.m_clock.now(), 1ms);
-    if (random.chance(m_simulation.m_rates.tableDown)) {
+    if (random.chance(m_simulation.m_rates.tableUnavailable)) {
         m_simulation.schedule(noInstance, m_simulation.randomDelay(0.005), [done] { done({}); });
         return;
     }
-    if (random.chance(m_simulation.m_rates.tableLost)) {
+    if (random.chance(m_simulation.m_rates.tableResponseLost)) {
         const bool takesEffect = random.chance(0.6);
         const auto delay
             = random.chance(0.5) ? m_simulation.randomDelay(0.005) : timeout + m_simulation.randomDelay(0.5);
         if (takesEffect)
             m_simulation.schedule(noInstance, delay, [this, transaction] { apply(transaction); });
-        m_simulation.schedule(noInstance, timeout, [done] { done({ store::TransactEnd::Ambiguous, {} }); });
+        m_simulation.schedule(noInstance, timeout, [done] { done({ store::TransactOutcome::Ambiguous, {} }); });
         return;
     }
     m_simulation.schedule(
         noInstance, m_simulation.randomDelay(0.005), [this, transaction, done] { done(apply(transaction)); });
 }
 
-void FaultWorld::FakeTable::read(std::string key, TimePoint, std::function<void(store::ReadResult)> done)
+void FaultSimulation::FakeTable::read(std::string key, TimePoint, std::function<void(store::ReadResult)> done)
 {
-    const bool succeeds = !m_simulation.m_random.chance(m_simulation.m_rates.tableDown);
+    const bool succeeds = !m_simulation.m_random.chance(m_simulation.m_rates.tableUnavailable);
     m_simulation.schedule(noInstance, m_simulation.randomDelay(0.005), [this, key, done, succeeds] {
         store::ReadResult result { succeeds, {} };
         const auto it = m_rows.find(key);
@@ -146,7 +146,7 @@
     });
 }
 
-FaultWorld::FaultWorld(std::uint64_t seed, FaultRates rates)
+FaultSimulation::FaultSimulation(std::uint64_t seed, FaultRates rates)
     : m_random(seed)
     , m_rates(rates)
     , m_declarations(smallDeployment(3))
@@ -160,29 +160,29 @@
         options.pools.zone = AvailabilityZoneId("a");
         options.pools.seed = seed;
         options.shards = 2;
-        if (!rates.extras)
-            options.extraShare = 0;
+        if (!rates.retriesAndHedges)
+            options.retryBudgetFraction = 0;
         instance->dispatcher = serving::makeDispatcher(options);
         instance->dispatcher->configure(ConfigVersion(1), m_declarations);
-        instance->claims = control::ClaimKeeper::create(*m_table, m_clock, options.pools.self, m_random.next(),
+        instance->claims = control::ClaimStore::create(*m_table, m_clock, options.pools.self, m_random.next(),
             [this, i](Duration delay, std::function<void()> action) { schedule(i, delay, std::move(action)); });
         m_instances.push_back(std::move(instance));
     }
 }
 
-FaultWorld::~FaultWorld() = default;
+FaultSimulation::~FaultSimulation() = default;
 
-Duration FaultWorld::randomDelay(double mean)
+Duration FaultSimulation::randomDelay(double mean)
 {
     return fromSeconds(m_random.exponential(mean));
 }
 
-void FaultWorld::schedule(std::size_t instance, Duration delay, std::function<void()> action)
+void FaultSimulation::schedule(std::size_t instance, Duration delay, std::function<void()> action)
 {
     m_events.push_back({ m_clock.now() + delay, instance, std::move(action) });
 }
 
-bool FaultWorld::runNextEvent()
+bool FaultSimulation::runNextEvent()
 {
     if (m_events.empty())
         return false;
@@ -204,28 +204,28 @@
     return true;
 }
 
-FaultCounts FaultWorld::run(std::size_t requests)
+OutcomeCounts FaultSimulation::run(std::size_t requests)
 {
     for (std::size_t i = 0; i < requests; ++i)
         schedule(noInstance, randomDelay(0.1), [this, i] { submit(i, false); });
     for (std::size_t i = 0; i < instanceCount; ++i) {
-        if (i > 0 && m_random.chance(m_rates.instanceDies))
+        if (i > 0 && m_random.chance(m_rates.instanceCrash))
             schedule(noInstance, randomDelay(0.3), [this, i] { m_instances[i]->alive = false; });
     }
     for (std::size_t events = 0; events < maxEvents && runNextEvent(); ++events) { }
     for (const auto& it : m_requests) {
         if (it.second.replies == 0 && m_instances[it.second.instance]->alive)
-            ++m_counts.lost;
+            ++m_counts.unanswered;
     }
-    m_counts.effects = m_executions.size();
+    m_counts.executedBookings = m_executions.size();
     for (const auto& it : m_executions)
-        m_counts.doubled += it.second > 1 ? 1 : 0;
+        m_counts.duplicates += it.second > 1 ? 1 : 0;
     for (const auto& it : m_reportedNotRun)
-        m_counts.wrongNotRun += m_executedRuns.contains(it) ? 1 : 0;
+        m_counts.falseNotRun += m_executedRuns.contains(it) ? 1 : 0;
     return m_counts;
 }
 
-void FaultWorld::submit(std::size_t number, bool isRetry)
+void FaultSimulation::submit(std::size_t number, bool isRetry)
 {
     std::size_t instance = m_random.below(instanceCount);
     if (!m_instances[instance]->alive)
@@ -238,31 +238,31 @@
     serving::SubmitRequest request;
     request.pipeline = PipelineId(state.booking ? "book" : "answer");
     request.account = ClientAccountId(number % 3 == 0 ? "coop" : "shop");
-    request.body = pipeline::payloadOf(state.body);
+    request.body = pipeline::makePayload(state.body);
     request.stream = true;
     if (state.booking)
         request.key = IdempotencyKey("key-" + std::to_string(number));
-    if (state.booking && !isRetry && m_random.chance(m_rates.callerRepeats))
+    if (state.booking && !isRetry && m_random.chance(m_rates.callerRetry))
         schedule(noInstance, randomDelay(1), [this, number] { submit(number, true); });
     ++m_counts.requests;
     auto& dispatcher = *m_instances[instance]->dispatcher;
-    const auto id = dispatcher.newRun();
+    const auto id = dispatcher.allocateRunId();
     m_requests.emplace(id, std::move(state));
-    if (m_random.chance(m_rates.callerLeaves))
+    if (m_random.chance(m_rates.callerDisconnect))
         schedule(instance, randomDelay(0.02), [this, instance, id] { disconnectCaller(instance, id); });
     serving::Actions actions;
     dispatcher.submit(id, std::move(request), m_clock.now(), actions);
     handleActions(instance, std::move(actions));
 }
 
-void FaultWorld::disconnectCaller(std::size_t instance, RunId run)
+void FaultSimulation::disconnectCaller(std::size_t instance, RunId run)
 {
     serving::Actions followUp;
-    m_instances[instance]->dispatcher->onCallerLeft(run, m_clock.now(), followUp);
+    m_instances[instance]->dispatcher->onCallerDisconnected(run, m_clock.now(), followUp);
     handleActions(instance, std::move(followUp));
 }
 
-void FaultWorld::handleActions(std::size_t instance, serving::Actions actions)
+void FaultSimulation::handleActions(std::size_t instance, serving::Actions actions)
 {
     auto& fake = *m_instances[instance];
     for (auto& action : actions) {
@@ -276,7 +276,7 @@
                 m_instances[instance]->dispatcher->onTimer(id, m_clock.now(), followUp);
                 handleActions(instance, std::move(followUp));
             });
-        } else if (const auto* claim = std::get_if<serving::ClaimCall>(&action)) {
+        } else if (const auto* claim = std::get_if<serving::AcquireClaim>(&action)) {
             fake.claims->claim(
                 *claim, [this, instance, run = claim->run, stage = claim->stage](const pipeline::ClaimResult& result) {
                     if (!m_instances[instance]->alive)
@@ -285,8 +285,8 @@
                     m_instances[instance]->dispatcher->onClaim(run, stage, result, m_clock.now(), followUp);
                     handleActions(instance, std::move(followUp));
                 });
-        } else if (const auto* end = std::get_if<serving::EndClaim>(&action)) {
-            fake.claims->end(*end);
+        } else if (const auto* end = std::get_if<serving::CompleteClaim>(&action)) {
+            fake.claims->recordOutcome(*end);
         } else if (const auto* tokens = std::get_if<pipeline::EmitTokens>(&action)) {
             onTokens(*tokens);
         } else if (const auto* reply = std::get_if<serving::Reply>(&action)) {
@@ -295,7 +295,7 @@
     }
 }
 
-void FaultWorld::recordExecution(const serving::SendCall& send)
+void FaultSimulation::recordExecution(const serving::SendCall& send)
 {
     if (send.idempotencyKey.empty())
         return;
@@ -303,17 +303,17 @@
     m_executedRuns.insert(send.call.id.run);
 }
 
-void FaultWorld::failCall(std::size_t instance, const pipeline::AttemptId& id, CallFailure failure)
+void FaultSimulation::failCall(std::size_t instance, const pipeline::AttemptId& id, CallFailure failure)
 {
     serving::Actions followUp;
     m_instances[instance]->dispatcher->onFailure(id, failure, m_clock.now(), followUp);
     handleActions(instance, std::move(followUp));
 }
 
-void FaultWorld::startCall(std::size_t instance, const serving::SendCall& send)
+void FaultSimulation::startCall(std::size_t instance, const serving::SendCall& send)
 {
     ++m_counts.attempts;
-    m_counts.firstAttempts += send.call.isExtra ? 0 : 1;
+    m_counts.firstAttempts += send.call.isRetryOrHedge ? 0 : 1;
     const auto id = send.call.id;
     if (m_random.chance(m_rates.callRefused)) {
         const auto failure = m_random.chance(0.5) ? CallFailure::NotSent : CallFailure::Refused;
@@ -323,15 +323,15 @@
     // The driver reports the first sent byte from its own thread, which may be after the call has completed.
     schedule(instance, randomDelay(0.003),
         [this, instance, id] { m_instances[instance]->dispatcher->onSent(id, m_clock.now()); });
-    if (m_random.chance(m_rates.callLost)) {
+    if (m_random.chance(m_rates.callTimeout)) {
         if (m_random.chance(0.5))
             schedule(noInstance, randomDelay(0.02), [this, send] { recordExecution(send); });
         // The driver reports a call without a response when its deadline expires.
-        schedule(instance, send.call.giveUpAt - m_clock.now(),
-            [this, instance, id] { failCall(instance, id, CallFailure::Silent); });
+        schedule(instance, send.call.responseDeadline - m_clock.now(),
+            [this, instance, id] { failCall(instance, id, CallFailure::TimedOut); });
         return;
     }
-    const bool fails = m_random.chance(m_rates.callBroken);
+    const bool fails = m_random.chance(m_rates.callFailure);
     if (send.call.stage->kind == config::ServiceKind::ModelEngine) {
         schedule(instance, randomDelay(0.01), [this, instance, send, fails] { deliverStream(instance, send, fails); });
         return;
@@ -339,7 +339,7 @@
     if (fails) {
         if (m_random.chance(0.5))
             schedule(noInstance, randomDelay(0.01), [this, send] { recordExecution(send); });
-        const auto failure = m_random.chance(0.5) ? CallFailure::Broken : CallFailure::Failed;
+        const auto failure = m_random.chance(0.5) ? CallFailure::ConnectionLost : CallFailure::ServerError;
         schedule(instance, randomDelay(0.02), [this, instance, id, failure] { failCall(instance, id, failure); });
         return;
     }
@@ -349,14 +349,14 @@
     });
 }
 
-void FaultWorld::deliverAnswer(std::size_t instance, const serving::SendCall& send)
+void FaultSimulation::deliverAnswer(std::size_t instance, const serving::SendCall& send)
 {
     auto& dispatcher = *m_instances[instance]->dispatcher;
-    const auto body = pipeline::payloadOf(*send.call.input.request + "@" + send.call.stage->service.value());
+    const auto body = pipeline::makePayload(*send.call.input.request + "@" + send.call.stage->service.value());
     serving::Actions followUp;
     dispatcher.onAnswer(send.call.id, body, m_clock.now(), followUp);
     handleActions(instance, std::move(followUp));
-    if (!m_random.chance(m_rates.resultRepeated))
+    if (!m_random.chance(m_rates.duplicateResult))
         return;
     auto unmatched = send.call.id;
     if (m_random.chance(0.5))
@@ -368,7 +368,7 @@
     handleActions(instance, std::move(unmatchedActions));
 }
 
-void FaultWorld::deliverStream(std::size_t instance, const serving::SendCall& send, bool fails)
+void FaultSimulation::deliverStream(std::size_t instance, const serving::SendCall& send, bool fails)
 {
     auto& dispatcher = *m_instances[instance]->dispatcher;
     const auto id = send.call.id;
@@ -393,7 +393,7 @@
     }
     // Sometimes the end of the stream is reported although tokens are missing.
     if (fails && !m_random.chance(0.3)) {
-        failCall(instance, id, m_random.chance(0.5) ? CallFailure::Broken : CallFailure::Truncated);
+        failCall(instance, id, m_random.chance(0.5) ? CallFailure::ConnectionLost : CallFailure::Truncated);
         return;
     }
     serving::Actions followUp;
@@ -401,31 +401,31 @@
     handleActions(instance, std::move(followUp));
 }
 
-void FaultWorld::onTokens(const pipeline::EmitTokens& tokens)
+void FaultSimulation::onTokens(const pipeline::EmitTokens& tokens)
 {
     auto& state = m_requests.at(tokens.run);
     if (tokens.offset != state.receivedTokens)
-        ++m_counts.crossed;
+        ++m_counts.mismatches;
     for (const auto& it : tokens.tokens)
         state.text += it;
     state.receivedTokens += tokens.tokens.size();
 }
 
-void FaultWorld::checkAnswer(const RequestState& state, const pipeline::Payload& answer)
+void FaultSimulation::checkAnswer(const RequestState& state, const pipeline::Payload& answer)
 {
     if (state.booking) {
-        m_counts.crossed += *answer == state.body + "@booking" ? 0 : 1;
+        m_counts.mismatches += *answer == state.body + "@booking" ? 0 : 1;
         return;
     }
     const auto expected = generatedText(state.body);
-    m_counts.crossed += *answer == expected && state.text == expected ? 0 : 1;
+    m_counts.mismatches += *answer == expected && state.text == expected ? 0 : 1;
 }
 
-void FaultWorld::onReply(const serving::Reply& reply)
+void FaultSimulation::onReply(const serving::Reply& reply)
 {
     auto& state = m_requests.at(reply.run);
     if (++state.replies > 1)
-        ++m_counts.doubled;
+        ++m_counts.duplicates;
     switch (reply.outcome.kind) {
     case OutcomeKind::Answered:
         ++m_counts.answered;
--- a/src/foxtailwheel/testing/FaultWorld.h
+++ b/src/foxtailwheel/testing/FaultSimulation.h
@@ -2,7 +2,7 @@
 
 #include "foxtailwheel/base/Clock.h"
 #include "foxtailwheel/base/Random.h"
-#include "foxtailwheel/control/ClaimKeeper.h"
+#include "foxtailwheel/control/ClaimStore.h"
 #include "foxtailwheel/serving/Dispatcher.h"
 #include "foxtailwheel/store/Table.h"
 
@@ -17,47 +17,48 @@
 
 /// @brief Probability of each fault in one schedule.
 struct FaultRates {
-    double callLost = 0.1; ///< A call times out; the server may have executed it or not.
-    double callBroken = 0.1; ///< A call loses its connection or fails before, during or after execution.
+    double callTimeout = 0.1; ///< A call times out; the server may have executed it or not.
+    double callFailure = 0.1; ///< A call loses its connection or fails before, during or after execution.
     double callRefused = 0.1; ///< The server refuses the call or is unreachable.
-    double resultRepeated = 0.1; ///< A result arrives twice, or a copy of it arrives for another attempt or run.
-    double tableLost = 0.15; ///< The response to a write is lost; the write is applied, applied late, or not applied.
-    double tableDown = 0.1; ///< The table is unavailable.
-    double instanceDies = 0.05; ///< An instance crashes and loses its requests in progress.
-    double callerRepeats = 0.6; ///< The caller retries a booking on a random instance.
-    double callerLeaves = 0.05; ///< The caller disconnects after a random delay.
-    bool extras = true; ///< Whether hedges and retries are enabled.
+    double duplicateResult = 0.1; ///< A result arrives twice, or a copy of it arrives for another attempt or run.
+    double tableResponseLost
+        = 0.15; ///< The response to a write is lost; the write is applied, applied late, or not applied.
+    double tableUnavailable = 0.1; ///< The table is unavailable.
+    double instanceCrash = 0.05; ///< An instance crashes and loses its requests in progress.
+    double callerRetry = 0.6; ///< The caller retries a booking on a random instance.
+    double callerDisconnect = 0.05; ///< The caller disconnects after a random delay.
+    bool retriesAndHedges = true; ///< Whether hedges and retries are enabled.
 };
 
 /// @brief Outcome counts of one or more schedules.
-struct FaultCounts {
+struct OutcomeCounts {
     std::uint64_t requests = 0;
     std::uint64_t answered = 0;
     std::uint64_t notRun = 0;
     std::uint64_t unknown = 0;
-    std::uint64_t lost = 0; ///< Requests without a reply on instances that did not crash.
-    std::uint64_t doubled = 0; ///< Bookings executed more than once, and second replies to a request.
-    std::uint64_t crossed = 0; ///< Answers or tokens that belong to another request or are out of order.
-    std::uint64_t wrongNotRun = 0; ///< Requests reported as not run although a backend server executed them.
-    std::uint64_t effects = 0; ///< Distinct bookings that were executed.
+    std::uint64_t unanswered = 0; ///< Requests without a reply on instances that did not crash.
+    std::uint64_t duplicates = 0; ///< Bookings executed more than once, and second replies to a request.
+    std::uint64_t mismatches = 0; ///< Answers or tokens that belong to another request or are out of order.
+    std::uint64_t falseNotRun = 0; ///< Requests reported as not run although a backend server executed them.
+    std::uint64_t executedBookings = 0; ///< Distinct bookings that were executed.
     std::uint64_t attempts = 0; ///< Calls to backend servers, hedges and retries included.
     std::uint64_t firstAttempts = 0;
 
-    bool clean() const { return lost + doubled + crossed + wrongNotRun == 0; }
-    void add(const FaultCounts& other);
+    bool hasNoViolations() const { return unanswered + duplicates + mismatches + falseNotRun == 0; }
+    void add(const OutcomeCounts& other);
 };
 
 /// @brief Simulates the dispatchers of several instances with a fake table and fake backend servers, on a manual clock
 /// and with randomly reordered events. A seed determines the schedule of faults.
-class FaultWorld {
+class FaultSimulation {
 public:
-    FaultWorld(std::uint64_t seed, FaultRates rates);
-    ~FaultWorld();
-    FaultWorld(const FaultWorld&) = delete;
-    FaultWorld& operator=(const FaultWorld&) = delete;
+    FaultSimulation(std::uint64_t seed, FaultRates rates);
+    ~FaultSimulation();
+    FaultSimulation(const FaultSimulation&) = delete;
+    FaultSimulation& operator=(const FaultSimulation&) = delete;
 
     /// @brief Submits `requests` requests and runs until no events remain.
-    FaultCounts run(std::size_t requests);
+    OutcomeCounts run(std::size_t requests);
 
 private:
     class FakeTable;
@@ -96,7 +97,7 @@
     std::set<RunId> m_executedRuns;
     std::set<RunId> m_reportedNotRun;
     std::set<pipeline::AttemptId> m_cancelledCalls;
-    FaultCounts m_counts;
+    OutcomeCounts m_counts;
 };
 
 } // namespace foxtailwheel::testing
--- a/src/foxtailwheel/testing/Declared.cpp
+++ b/src/foxtailwheel/testing/TestDeclarations.cpp
@@ -1,10 +1,10 @@
-#include "Declared.h"
+#include "TestDeclarations.h"
 
 namespace foxtailwheel::testing {
 
 using namespace std::chrono_literals;
 
-config::Service serviceOf(const std::string& name, config::ServiceKind kind, std::size_t servers)
+config::Service makeService(const std::string& name, config::ServiceKind kind, std::size_t servers)
 {
     config::Service service;
     service.id = ServiceId(name);
@@ -25,12 +25,12 @@
     auto declarations = std::make_shared<config::Declarations>();
     declarations->zones = { { AvailabilityZoneId("a"), "r" }, { AvailabilityZoneId("b"), "r" } };
     declarations->links = { { AvailabilityZoneId("a"), AvailabilityZoneId("b"), 3ms, { 5 } } };
-    declarations->services.push_back(serviceOf("encode", config::ServiceKind::Encoder, servers));
-    declarations->services.push_back(serviceOf("retrieve", config::ServiceKind::Retriever, servers));
+    declarations->services.push_back(makeService("encode", config::ServiceKind::Encoder, servers));
+    declarations->services.push_back(makeService("retrieve", config::ServiceKind::Retriever, servers));
     declarations->services.back().dependsOn = { ServiceId("encode") };
-    declarations->services.push_back(serviceOf("generate", config::ServiceKind::ModelEngine, servers));
+    declarations->services.push_back(makeService("generate", config::ServiceKind::ModelEngine, servers));
     declarations->services.back().dependsOn = { ServiceId("retrieve") };
-    declarations->services.push_back(serviceOf("booking", config::ServiceKind::Plain, servers));
+    declarations->services.push_back(makeService("booking", config::ServiceKind::Plain, servers));
     declarations->services.back().idempotent = false;
     declarations->pipelines.push_back({ PipelineId("answer"), ServiceId("generate"), 2s, 0 });
     declarations->pipelines.push_back({ PipelineId("book"), ServiceId("booking"), 1s, 0 });
--- a/src/foxtailwheel/testing/Declared.h
+++ b/src/foxtailwheel/testing/TestDeclarations.h
@@ -12,6 +12,6 @@
 std::shared_ptr<const config::Declarations> smallDeployment(std::size_t servers);
 
 /// @brief Returns a service with `servers` backend servers, alternating between the zones `a` and `b`.
-config::Service serviceOf(const std::string& name, config::ServiceKind kind, std::size_t servers);
+config::Service makeService(const std::string& name, config::ServiceKind kind, std::size_t servers);
 
 } // namespace foxtailwheel::testing
