--- a/include/foxtailwheel/limits/FairQueue.h
+++ b/include/foxtailwheel/limits/FairQueue.h
@@ -37,7 +37,7 @@
     /// @brief Removes the next run without charging its account, for runs that will not be started.
     void dropFront();
     /// @brief Total service time of the queued runs, in seconds.
-    double waitingCost() const { return m_waitingCost; }
+    double queuedCost() const { return m_queuedCost; }
     /// @brief Estimates the service time, in seconds, that is dequeued before a new run of `account`.
     double costAhead(const ClientAccountId& account, double weight) const;
     bool empty() const { return m_accountsByStartTag.empty(); }
@@ -59,8 +59,8 @@
     std::unordered_map<ClientAccountId, Account> m_accounts;
     std::set<std::pair<double, ClientAccountId>> m_accountsByStartTag;
     double m_virtualTime = 0;
-    double m_waitingCost = 0;
-    double m_waitingWeight = 0;
+    double m_queuedCost = 0;
+    double m_queuedWeight = 0;
     std::size_t m_size = 0;
     std::size_t m_removalsSinceEviction = 0;
 };
--- a/include/foxtailwheel/routing/ServerHealth.h
+++ b/include/foxtailwheel/routing/ServerHealth.h
@@ -22,7 +22,7 @@
 class ServerHealth {
 public:
     /// @brief Updates the state with the outcome of a call.
-    void onCallEnded(CallOutcome sign, TimePoint now);
+    void onCallEnded(CallOutcome outcome, TimePoint now);
     /// @brief Returns true if a call can be sent to the server now.
     /// @param ownCalls Calls of this instance in progress at the server.
     bool isUsable(TimePoint now, std::uint32_t ownCalls) const;
--- a/include/foxtailwheel/serving/BatchQueue.h
+++ b/include/foxtailwheel/serving/BatchQueue.h
@@ -88,7 +88,7 @@
 };
 
 /// @brief Returns the name of an outcome as it is written in logs.
-std::string_view toString(BatchOutcome end);
+std::string_view toString(BatchOutcome outcome);
 
 /// @brief Action: send one call with these pieces.
 struct SendBatch {
@@ -145,8 +145,8 @@
     /// @brief Removes all queued pieces so that another queue can process them; each is reported as `OwnerChanged`.
     void handOver(std::vector<BatchAction>& out);
     /// @brief Handles the end of a call.
-    /// @param results One for each piece if `end` is `Answered`, else ignored.
-    void onCallEnd(CallId call, BatchOutcome end, const std::vector<PieceResult>& results, TimePoint now,
+    /// @param results One for each piece if `outcome` is `Answered`, else ignored.
+    void onCallEnd(CallId call, BatchOutcome outcome, const std::vector<PieceResult>& results, TimePoint now,
         std::vector<BatchAction>& out);
     /// @brief Handles a release of results; `nextDispatch` takes the capacity that it frees into account.
     /// @return False if none of the results was produced by a call of this queue.
--- a/include/foxtailwheel/serving/Forwarder.h
+++ b/include/foxtailwheel/serving/Forwarder.h
@@ -144,7 +144,7 @@
 /// @brief Load that a backend server reported with a response.
 struct ReportedLoad {
     std::uint32_t running = 0; ///< Calls in execution.
-    std::uint32_t waiting = 0; ///< Calls in the server's queue.
+    std::uint32_t queued = 0; ///< Calls in the queue of the server.
 };
 
 /// @brief Options of request forwarding.
--- a/include/foxtailwheel/serving/PieceBroker.h
+++ b/include/foxtailwheel/serving/PieceBroker.h
@@ -128,8 +128,8 @@
     /// again to the current owner.
     void onConnectionLost(const InstanceId& instance, TimePoint now, BrokerActions& out);
     /// @brief Handles the end of a batch call.
-    void onBatchEnd(const ServiceId& service, CallId call, BatchOutcome end, const std::vector<PieceResult>& results,
-        TimePoint now, BrokerActions& out);
+    void onBatchEnd(const ServiceId& service, CallId call, BatchOutcome outcome,
+        const std::vector<PieceResult>& results, TimePoint now, BrokerActions& out);
     /// @brief Sends the batches of a service that are ready.
     void dispatch(const ServiceId& service, TimePoint now, BrokerActions& out);
     /// @brief Handles expired timeouts and sends heartbeats that are due.
--- a/src/foxtailwheel/bench/FakeServer.h
+++ b/src/foxtailwheel/bench/FakeServer.h
@@ -39,7 +39,7 @@
 
 /// @brief Number of prefixes that a simulated model engine caches.
 constexpr std::size_t prefixCacheCapacity = 24;
-/// @brief Share of the call time that a cached prefix saves.
-constexpr double prefixHitTimeSaving = 0.35;
+/// @brief Fraction of the call time that a cached prefix saves.
+constexpr double prefixCacheSaving = 0.35;
 
 } // namespace foxtailwheel::bench
--- a/src/foxtailwheel/bench/Simulation.cpp
+++ b/src/foxtailwheel/bench/Simulation.cpp
@@ -381,7 +381,7 @@
         double seconds = callSeconds(*call, *server.service) * server.slowdown;
         const bool engine = server.service->kind == config::ServiceKind::ModelEngine;
         if (engine && call->send.prefix && server.touchPrefix(*call->send.prefix))
-            seconds *= 1 - prefixHitTimeSaving;
+            seconds *= 1 - prefixCacheSaving;
         if (engine && call->send.prefix) {
             const routing::CacheEvent event { ++server.cacheSequence, *call->send.prefix, false };
             for (std::size_t i = 0; i < m_instances.size(); ++i) {
--- a/src/foxtailwheel/limits/FairQueue.cpp
+++ b/src/foxtailwheel/limits/FairQueue.cpp
@@ -21,11 +21,11 @@
         // An account that has used less than its share may send a short burst ahead of its turn.
         state.startTag = std::max(state.startTag, m_virtualTime - maxBurstRuns * run.cost / weight);
         m_accountsByStartTag.emplace(state.startTag, account);
-        m_waitingWeight += weight;
+        m_queuedWeight += weight;
     }
     state.runs.emplace(std::pair(run.priority, run.deadline), run);
     state.queuedCost += run.cost;
-    m_waitingCost += run.cost;
+    m_queuedCost += run.cost;
     ++m_size;
 }
 
@@ -61,12 +61,12 @@
         state.startTag = tag + run.cost / state.weight;
     }
     state.queuedCost -= run.cost;
-    m_waitingCost = std::max(0.0, m_waitingCost - run.cost);
+    m_queuedCost = std::max(0.0, m_queuedCost - run.cost);
     --m_size;
     if (m_accountsByStartTag.empty() && state.runs.empty())
         m_virtualTime = std::max(m_virtualTime, state.startTag);
     if (state.runs.empty())
-        m_waitingWeight = std::max(0.0, m_waitingWeight - state.weight);
+        m_queuedWeight = std::max(0.0, m_queuedWeight - state.weight);
     else
         m_accountsByStartTag.emplace(state.startTag, id);
     if (++m_removalsSinceEviction >= removalsBetweenEvictions)
@@ -87,8 +87,8 @@
     const bool waiting = it != m_accounts.end() && !it->second.runs.empty();
     const double ownQueued = waiting ? it->second.queuedCost : 0;
     const double ownLead = it == m_accounts.end() ? 0 : std::max(0.0, it->second.startTag - m_virtualTime) * weight;
-    const double others = m_waitingCost - ownQueued;
-    const double othersWeight = std::max(0.0, m_waitingWeight - (waiting ? it->second.weight : 0));
+    const double others = m_queuedCost - ownQueued;
+    const double othersWeight = std::max(0.0, m_queuedWeight - (waiting ? it->second.weight : 0));
     const double ownCost = ownQueued + ownLead;
     return ownCost + std::min(others, ownCost / weight * othersWeight + others / std::max<std::size_t>(m_size, 1));
 }
--- a/src/foxtailwheel/membership/Membership.cpp
+++ b/src/foxtailwheel/membership/Membership.cpp
@@ -241,10 +241,10 @@
 
 Digest Membership::makeNewMemberDigest()
 {
-    auto all = makeDigest();
+    auto digest = makeDigest();
     for (const auto& it : pickRandomMembers(maxMembersForNewMember, m_self.id))
-        all.members.push_back(m_members.at(it).member);
-    return all;
+        digest.members.push_back(m_members.at(it).member);
+    return digest;
 }
 
 bool Membership::isNewIncarnation(const Member& member) const
--- a/src/foxtailwheel/routing/ServerHealth.cpp
+++ b/src/foxtailwheel/routing/ServerHealth.cpp
@@ -23,9 +23,9 @@
     m_nextProbeAt = now + m_backoff;
 }
 
-void ServerHealth::onCallEnded(CallOutcome sign, TimePoint now)
+void ServerHealth::onCallEnded(CallOutcome outcome, TimePoint now)
 {
-    switch (sign) {
+    switch (outcome) {
     case CallOutcome::Success:
         m_consecutiveFailures = 0;
         if (m_suspected && ++m_consecutiveSuccesses >= successesToRecover)
--- a/src/foxtailwheel/routing/ServerPool.cpp
+++ b/src/foxtailwheel/routing/ServerPool.cpp
@@ -387,13 +387,13 @@
 std::vector<config::BackendServer> ServerPool::availableServers(std::uint32_t maxOwnCalls, TimePoint now) const
 {
     const std::lock_guard lock(m_impl->mutex);
-    std::vector<config::BackendServer> free;
+    std::vector<config::BackendServer> available;
     for (const auto index : m_impl->subset) {
         const auto& server = m_impl->servers[index];
         if (server.health.isUsable(now, server.load.ownCalls()) && server.load.ownCalls() < maxOwnCalls)
-            free.push_back(server.declared);
+            available.push_back(server.declared);
     }
-    return free;
+    return available;
 }
 
 std::map<AvailabilityZoneId, std::size_t> ServerPool::serversByZone() const
--- a/src/foxtailwheel/serving/Admission.cpp
+++ b/src/foxtailwheel/serving/Admission.cpp
@@ -41,7 +41,7 @@
 
         mutable std::mutex m_mutex;
         std::size_t m_maxQueued;
-        limits::ConcurrencyLimiter m_gate;
+        limits::ConcurrencyLimiter m_limiter;
         std::map<ServiceId, limits::FairQueue> m_queues;
         std::unordered_map<RunId, QueuedRun> m_queuedRuns;
     };
@@ -50,9 +50,9 @@
     {
         const std::lock_guard lock(m_mutex);
         auto& queue = m_queues[request.bottleneck];
-        if (queue.empty() && m_gate.tryAcquire(request.reservations))
+        if (queue.empty() && m_limiter.tryAcquire(request.reservations))
             return { AdmissionDecision::Admit, {} };
-        const double rate = std::max(0.1, m_gate.limit(request.bottleneck));
+        const double rate = std::max(0.1, m_limiter.limit(request.bottleneck));
         const auto expectedWait = fromSeconds(queue.costAhead(request.account, request.weight) / rate);
         const auto requiredTime = fromSeconds(toSeconds(request.criticalPath) * criticalPathMargin);
         if (m_queuedRuns.size() >= m_maxQueued || now + expectedWait + requiredTime > request.deadline)
@@ -65,7 +65,7 @@
     void QueuedAdmission::release(const std::vector<limits::SlotReservation>& reservations)
     {
         const std::lock_guard lock(m_mutex);
-        m_gate.release(reservations);
+        m_limiter.release(reservations);
     }
 
     void QueuedAdmission::dequeueFrom(limits::FairQueue& queue, TimePoint now, DequeuedRuns& out)
@@ -74,7 +74,7 @@
             const auto it = m_queuedRuns.find(front->run);
             const bool removed = it == m_queuedRuns.end();
             const bool expired = !removed && it->second.latestStart < now;
-            if (!removed && !expired && !m_gate.tryAcquire(it->second.reservations))
+            if (!removed && !expired && !m_limiter.tryAcquire(it->second.reservations))
                 return;
             if (expired)
                 out.rejected.push_back(front->run);
@@ -107,13 +107,13 @@
     void QueuedAdmission::setSlotLimit(const ServiceId& service, double slots)
     {
         const std::lock_guard lock(m_mutex);
-        m_gate.setLimit(service, slots);
+        m_limiter.setLimit(service, slots);
     }
 
     double QueuedAdmission::utilization(const ServiceId& service) const
     {
         const std::lock_guard lock(m_mutex);
-        return m_gate.utilization(service);
+        return m_limiter.utilization(service);
     }
 
     std::size_t QueuedAdmission::queuedCount() const
--- a/src/foxtailwheel/serving/BatchNames.cpp
+++ b/src/foxtailwheel/serving/BatchNames.cpp
@@ -19,9 +19,9 @@
     return "failed";
 }
 
-std::string_view toString(BatchOutcome end)
+std::string_view toString(BatchOutcome outcome)
 {
-    switch (end) {
+    switch (outcome) {
     case BatchOutcome::Answered:
         return "answered";
     case BatchOutcome::NotStarted:
--- a/src/foxtailwheel/serving/BatchPlacement.cpp
+++ b/src/foxtailwheel/serving/BatchPlacement.cpp
@@ -85,14 +85,14 @@
 
 /// Returns the zone with a free server for the first queued piece, in sending order, that can be sent now.
 std::optional<AvailabilityZoneId> BatchQueue::Impl::nextZone(
-    const CapacityByZone& free, const ArrivalNumbers& crossing, const GroupSizes& sizes) const
+    const CapacityByZone& capacityByZone, const ArrivalNumbers& crossing, const GroupSizes& sizes) const
 {
-    const auto largest
-        = std::max_element(free.begin(), free.end(), [](const auto& a, const auto& b) { return a.second < b.second; });
+    const auto largest = std::max_element(
+        capacityByZone.begin(), capacityByZone.end(), [](const auto& a, const auto& b) { return a.second < b.second; });
     for (const auto& it : waiting) {
         const auto bytes = piecesInSameCall(it, sizes) * it.resultBytes;
-        const auto preferred = it.zone ? free.find(*it.zone) : free.end();
-        if (preferred != free.end() && preferred->second >= bytes)
+        const auto preferred = it.zone ? capacityByZone.find(*it.zone) : capacityByZone.end();
+        if (preferred != capacityByZone.end() && preferred->second >= bytes)
             return preferred->first;
         if ((!it.zone || crossing.contains(it.arrivalNumber)) && largest->second >= bytes)
             return largest->first;
@@ -192,8 +192,8 @@
         return false;
     CapacityByZone capacityByZone;
     for (const auto& it : free) {
-        auto& most = capacityByZone[it.zone];
-        most = std::max(most, capacity.available(it.id, now));
+        auto& largest = capacityByZone[it.zone];
+        largest = std::max(largest, capacity.available(it.id, now));
     }
     const auto sizes = groupSizes();
     const auto crossing = piecesCrossingZones(free, capacityByZone, sizes, now);
--- a/src/foxtailwheel/serving/BatchQueue.cpp
+++ b/src/foxtailwheel/serving/BatchQueue.cpp
@@ -87,7 +87,7 @@
     hedgeSlowCalls(now);
 }
 
-/// Drops the pieces that are not expected to finish before their deadline, so that their requesters learn it
+/// Drops the pieces that are not expected to finish before their deadline, so that their requesters are notified
 /// immediately.
 void BatchQueue::Impl::dropUnmeetable(TimePoint now, std::vector<BatchAction>& out)
 {
@@ -135,10 +135,10 @@
 
 /// Scales the duration of the call to that of a call with one piece, so that the pool can compare calls of different
 /// sizes.
-routing::CallReport BatchQueue::Impl::callReport(const BatchCall& call, BatchOutcome end, TimePoint now) const
+routing::CallReport BatchQueue::Impl::callReport(const BatchCall& call, BatchOutcome outcome, TimePoint now) const
 {
     routing::CallReport report;
-    switch (end) {
+    switch (outcome) {
     case BatchOutcome::Answered:
         report.outcome = routing::CallOutcome::Success;
         break;
@@ -161,10 +161,10 @@
 
 /// Replaces the reservation of a call by its results, and then applies rejections for lack of capacity.
 void BatchQueue::Impl::updateCapacity(
-    const BatchCall& call, BatchOutcome end, const std::vector<PieceResult>& results, TimePoint now)
+    const BatchCall& call, BatchOutcome outcome, const std::vector<PieceResult>& results, TimePoint now)
 {
     capacity.cancelReservation(call.server.id, call.resultBytes);
-    if (end != BatchOutcome::Answered)
+    if (outcome != BatchOutcome::Answered)
         return;
     std::uint64_t rejectedBytes = 0;
     for (std::size_t i = 0; i < results.size(); ++i) {
@@ -223,28 +223,28 @@
     }
 }
 
-void BatchQueue::onCallEnd(
-    CallId id, BatchOutcome end, const std::vector<PieceResult>& results, TimePoint now, std::vector<BatchAction>& out)
+void BatchQueue::onCallEnd(CallId id, BatchOutcome outcome, const std::vector<PieceResult>& results, TimePoint now,
+    std::vector<BatchAction>& out)
 {
     auto endedCall = m_impl->calls.remove(id, now);
     if (!endedCall)
         return;
     auto& call = *endedCall;
-    if (end == BatchOutcome::Answered && results.size() != call.pieces.size())
-        end = BatchOutcome::Broken;
-    m_impl->pool.onCallEnded(call.server.id, m_impl->callReport(call, end, now), now);
-    if (end == BatchOutcome::Answered)
+    if (outcome == BatchOutcome::Answered && results.size() != call.pieces.size())
+        outcome = BatchOutcome::Broken;
+    m_impl->pool.onCallEnded(call.server.id, m_impl->callReport(call, outcome, now), now);
+    if (outcome == BatchOutcome::Answered)
         m_impl->forecast.recordCall(call.pieces.size(), now - call.startsAt);
-    else if (end == BatchOutcome::NotStarted)
+    else if (outcome == BatchOutcome::NotStarted)
         m_impl->calls.pause(call.server.id, now);
-    m_impl->updateCapacity(call, end, results, now);
+    m_impl->updateCapacity(call, outcome, results, now);
     for (std::size_t i = 0; i < call.pieces.size(); ++i) {
         auto& piece = call.pieces[i];
-        auto result = end == BatchOutcome::Answered ? results[i] : PieceResult(PieceFailure::Failed);
+        auto result = outcome == BatchOutcome::Answered ? results[i] : PieceResult(PieceFailure::Failed);
         if (auto* handle = std::get_if<ResultHandle>(&result))
             handle->service = m_impl->service;
         const auto* failure = std::get_if<PieceFailure>(&result);
-        const bool retryable = end == BatchOutcome::NotStarted || end == BatchOutcome::Unreachable
+        const bool retryable = outcome == BatchOutcome::NotStarted || outcome == BatchOutcome::Unreachable
             || (failure != nullptr && *failure == PieceFailure::NoCapacity);
         if (retryable)
             m_impl->requeue(std::move(piece), *failure, now, out);
--- a/src/foxtailwheel/serving/BatchQueueImpl.h
+++ b/src/foxtailwheel/serving/BatchQueueImpl.h
@@ -17,11 +17,11 @@
 /// @brief State of a batch queue. BatchPlacement.cpp defines the members that choose the pieces and the server of a
 /// call, BatchQueue.cpp all others.
 struct BatchQueue::Impl {
-    Impl(ServiceId s, config::BatchLimits l, routing::ServerPool& p, BatchQueueCallbacks e)
+    Impl(ServiceId s, config::BatchLimits l, routing::ServerPool& p, BatchQueueCallbacks c)
         : service(std::move(s))
         , limits(l)
         , pool(p)
-        , callbacks(std::move(e))
+        , callbacks(std::move(c))
         , forecast(l)
     {
         capacity.setLimits(l.resultCapacityBytes, l.resultLifetime);
@@ -34,7 +34,7 @@
     GroupSizes groupSizes() const;
     std::size_t piecesInSameCall(const WaitingPiece& piece, const GroupSizes& sizes) const;
     std::optional<AvailabilityZoneId> nextZone(
-        const CapacityByZone& free, const ArrivalNumbers& crossing, const GroupSizes& sizes) const;
+        const CapacityByZone& capacityByZone, const ArrivalNumbers& crossing, const GroupSizes& sizes) const;
     ArrivalNumbers piecesCrossingZones(const std::vector<config::BackendServer>& free,
         const CapacityByZone& capacityByZone, const GroupSizes& sizes, TimePoint now) const;
     std::vector<WaitingPiece> takePieces(
@@ -54,8 +54,8 @@
     void deliver(const WaitingPiece& piece, const PieceResult& result, std::vector<BatchAction>& out);
     void requeue(WaitingPiece piece, PieceFailure failure, TimePoint now, std::vector<BatchAction>& out);
     void updateCapacity(
-        const BatchCall& call, BatchOutcome end, const std::vector<PieceResult>& results, TimePoint now);
-    routing::CallReport callReport(const BatchCall& call, BatchOutcome end, TimePoint now) const;
+        const BatchCall& call, BatchOutcome outcome, const std::vector<PieceResult>& results, TimePoint now);
+    routing::CallReport callReport(const BatchCall& call, BatchOutcome outcome, TimePoint now) const;
 
     ServiceId service;
     config::BatchLimits limits;
--- a/src/foxtailwheel/serving/BatchQueueTest.cpp
+++ b/src/foxtailwheel/serving/BatchQueueTest.cpp
@@ -50,12 +50,12 @@
     }
 
     /// Ends a call with a result for each piece.
-    void finishCall(const SendBatch& call, TimePoint now, BatchOutcome end = BatchOutcome::Answered)
+    void finishCall(const SendBatch& call, TimePoint now, BatchOutcome outcome = BatchOutcome::Answered)
     {
         std::vector<PieceResult> results;
         for (const auto& it : call.pieces)
             results.emplace_back(ResultHandle { it.request + "/" + std::to_string(it.index), call.server });
-        collect([&](auto& actions) { queue->onCallEnd(call.call, end, results, now, actions); });
+        collect([&](auto& actions) { queue->onCallEnd(call.call, outcome, results, now, actions); });
     }
 
     void dispatch(TimePoint now)
--- a/src/foxtailwheel/serving/CallsInProgressTest.cpp
+++ b/src/foxtailwheel/serving/CallsInProgressTest.cpp
@@ -12,9 +12,9 @@
 const config::BatchLimits oneSlot { 1, 2, 10, 200ms, 17ms, 4s, 0 };
 const config::BackendServer server { BackendServerId("s"), "127.0.0.1", 9000, AvailabilityZoneId("a") };
 
-BatchCall call(TimePoint begunAt)
+BatchCall call(TimePoint startsAt)
 {
-    return { server, {}, begunAt, 200ms };
+    return { server, {}, startsAt, 200ms };
 }
 
 } // namespace
--- a/src/foxtailwheel/serving/Dispatcher.cpp
+++ b/src/foxtailwheel/serving/Dispatcher.cpp
@@ -20,12 +20,12 @@
     using pipeline::CallFailure;
     using pipeline::Reason;
 
-    /// Fraction of the typical critical path that the time limit of a new run must cover.
-    constexpr double minDeadlineFraction = 0.9;
+    /// Minimum timeout of a new run, as a fraction of the typical critical path of its plan.
+    constexpr double minTimeoutFraction = 0.9;
     constexpr Duration limitRefreshPeriod = 100ms;
-    /// Busy share of a pool below which an instance may use more slots than its own share.
-    constexpr double borrowBelowBusyShare = 1.0;
-    /// Multiple of the own share that may be borrowed, per unit of busy share below the threshold.
+    /// Utilization of a pool below which an instance may use more slots than its own share.
+    constexpr double borrowBelowUtilization = 1.0;
+    /// Multiple of the own share that may be borrowed, per unit of utilization below the threshold.
     constexpr double borrowSlope = 5;
 
     struct PlacedCall {
@@ -103,7 +103,7 @@
     private:
         Shard& shardOf(RunId run) { return m_shards[run.value() % m_shards.size()]; }
         std::shared_ptr<routing::ServerPool> poolOf(const ServiceId& service) const;
-        Reason validate(const SubmitRequest& request, Duration timeLimit, const pipeline::Plan& plan, TimePoint now,
+        Reason validate(const SubmitRequest& request, Duration timeout, const pipeline::Plan& plan, TimePoint now,
             Duration& retryAfter);
         AdmissionRequest admissionRequest(const RunEntry& entry, const config::ClientAccount& account) const;
         void admit(RunEntry& entry, const config::ClientAccount& account, TimePoint now, Actions& out);
@@ -118,7 +118,7 @@
         void sendReply(RunEntry& entry, pipeline::Outcome outcome, Actions& out);
         void onCallEnded(
             RunEntry& entry, const AttemptId& id, routing::CallOutcome callOutcome, bool resultUsed, TimePoint now);
-        static double borrowedShare(double busyShare);
+        static double borrowedShare(double utilization);
         void refreshLimits(TimePoint now);
         void startQueuedRuns(TimePoint now, Actions& out);
 
@@ -152,10 +152,10 @@
         std::set<BackendServerId> m_leaving;
         PoolRunPolicy m_policy;
         std::mutex m_rateMutex;
-        limits::RateLimiter m_rates;
+        limits::RateLimiter m_rateLimiter;
         std::unique_ptr<Admission> m_admission;
         std::atomic<std::uint64_t> m_nextRunId;
-        std::atomic<std::size_t> m_instances { 1 };
+        std::atomic<std::size_t> m_instanceCount { 1 };
         std::atomic<std::uint64_t> m_unmatchedResults { 0 };
         std::atomic<std::int64_t> m_limitsRefreshedAt { 0 };
         std::atomic<bool> m_slotsReleased { false };
@@ -182,10 +182,10 @@
 
     void ShardedDispatcher::setInstanceCount(std::size_t n)
     {
-        m_instances = std::max<std::size_t>(1, n);
+        m_instanceCount = std::max<std::size_t>(1, n);
         m_limitsRefreshedAt = 0;
         const std::lock_guard lock(m_rateMutex);
-        m_rates.setInstanceCount(m_instances);
+        m_rateLimiter.setInstanceCount(m_instanceCount);
     }
 
     void ShardedDispatcher::setLeavingServers(const std::set<BackendServerId>& leaving)
@@ -209,8 +209,8 @@
         return it == m_snapshot->pools.end() ? nullptr : it->second;
     }
 
-    Reason ShardedDispatcher::validate(const SubmitRequest& request, Duration timeLimit, const pipeline::Plan& plan,
-        TimePoint now, Duration& retryAfter)
+    Reason ShardedDispatcher::validate(
+        const SubmitRequest& request, Duration timeout, const pipeline::Plan& plan, TimePoint now, Duration& retryAfter)
     {
         if (!m_accepting)
             return Reason::ShuttingDown;
@@ -220,12 +220,12 @@
         const auto account = current->accounts.find(request.account);
         if (account != current->accounts.end() && account->second->ratePerSecond > 0) {
             const std::lock_guard lock(m_rateMutex);
-            retryAfter = m_rates.tryAcquire(request.account, account->second->ratePerSecond, now);
+            retryAfter = m_rateLimiter.tryAcquire(request.account, account->second->ratePerSecond, now);
             if (retryAfter > Duration {})
                 return Reason::RateLimited;
         }
         const auto typical = plan.criticalPath([](const pipeline::Stage& it) { return it.typicalTime; });
-        if (m_options.admission && timeLimit < fromSeconds(toSeconds(typical) * minDeadlineFraction))
+        if (m_options.admission && timeout < fromSeconds(toSeconds(typical) * minTimeoutFraction))
             return Reason::DeadlineTooShort;
         return Reason::None;
     }
@@ -262,11 +262,10 @@
     {
         const auto current = snapshot();
         const auto& plan = current->plans.at(request.pipeline);
-        const auto timeLimit
-            = request.timeout > Duration {} ? std::min(request.timeout, plan->deadline) : plan->deadline;
+        const auto timeout = request.timeout > Duration {} ? std::min(request.timeout, plan->deadline) : plan->deadline;
         Duration retryAfter {};
-        const auto reason = validate(request, timeLimit, *plan, now, retryAfter);
-        pipeline::RunRequest run { id, plan, request.body, now + timeLimit, request.stream };
+        const auto reason = validate(request, timeout, *plan, now, retryAfter);
+        pipeline::RunRequest run { id, plan, request.body, now + timeout, request.stream };
         auto entry = std::make_unique<RunEntry>(std::move(run), m_policy);
         entry->request = std::move(request);
         entry->snapshot = current;
@@ -456,10 +455,11 @@
             shard.runs.erase(it);
     }
 
-    /// Slots that may be used beyond this instance's share while the pool has idle ones, as a multiple of the share.
-    double ShardedDispatcher::borrowedShare(double busyShare)
+    /// Slots that may be used beyond this instance's share while the utilization of the pool is low, as a multiple of
+    /// that share.
+    double ShardedDispatcher::borrowedShare(double utilization)
     {
-        return std::clamp((borrowBelowBusyShare - busyShare) * borrowSlope, 0.0, 1.0);
+        return std::clamp((borrowBelowUtilization - utilization) * borrowSlope, 0.0, 1.0);
     }
 
     void ShardedDispatcher::refreshLimits(TimePoint now)
@@ -471,7 +471,7 @@
         if (!m_limitsRefreshedAt.compare_exchange_strong(at, std::max<std::int64_t>(1, ticks)))
             return;
         for (const auto& it : snapshot()->pools) {
-            const double share = it.second->usableSlots(now) / static_cast<double>(m_instances);
+            const double share = it.second->usableSlots(now) / static_cast<double>(m_instanceCount);
             m_admission->setSlotLimit(
                 it.first, std::max(1.0, share * (m_options.overcommit + borrowedShare(it.second->utilization()))));
         }
@@ -599,13 +599,13 @@
     std::vector<limits::AccountDemand> ShardedDispatcher::drainDemand(TimePoint now)
     {
         const std::lock_guard lock(m_rateMutex);
-        return m_rates.drainDemand(now);
+        return m_rateLimiter.drainDemand(now);
     }
 
     void ShardedDispatcher::setRateShare(const ClientAccountId& account, double perSecond, TimePoint now)
     {
         const std::lock_guard lock(m_rateMutex);
-        m_rates.setShare(account, perSecond, now);
+        m_rateLimiter.setShare(account, perSecond, now);
     }
 
     DispatcherStatus ShardedDispatcher::status() const
--- a/src/foxtailwheel/serving/ForwardCalls.cpp
+++ b/src/foxtailwheel/serving/ForwardCalls.cpp
@@ -84,9 +84,10 @@
             { "expected_ms", formatInteger(toMilliseconds(placement->expectedTime)) } });
     out.emplace_back(std::move(send));
     if (run.idempotent() && m_options.hedging) {
-        const auto goal = toSeconds(run.route->latencyTarget);
-        const auto delay = run.route->streaming ? std::max(minFailoverDelay, fromSeconds(goal * failoverDelayShare))
-                                                : fromSeconds(goal * hedgeDelayShare);
+        const auto targetSeconds = toSeconds(run.route->latencyTarget);
+        const auto delay = run.route->streaming
+            ? std::max(minFailoverDelay, fromSeconds(targetSeconds * failoverDelayShare))
+            : fromSeconds(targetSeconds * hedgeDelayShare);
         setTimer(now + delay, { TimerKind::Hedge, run.id, call, {} });
     }
     return true;
--- a/src/foxtailwheel/serving/ForwardRun.h
+++ b/src/foxtailwheel/serving/ForwardRun.h
@@ -13,7 +13,7 @@
     std::vector<std::optional<ResultHandle>> results; ///< One per piece.
     std::size_t missing = 0; ///< Pieces without a result.
     PieceGroupId group; ///< Group under which the pieces were requested.
-    std::uint32_t retries = 0; ///< Requests for pieces that were repeated after a failure.
+    std::uint32_t retries = 0; ///< Pieces requested again after a failure.
     bool started = false;
     bool released = false; ///< The results were released at their producers.
 
--- a/src/foxtailwheel/serving/ForwardStages.cpp
+++ b/src/foxtailwheel/serving/ForwardStages.cpp
@@ -8,7 +8,7 @@
 
     using namespace std::chrono_literals;
 
-    /// Maximum repeated requests for pieces after failures, per stage.
+    /// Maximum number of pieces of a stage that are requested again after a failure.
     constexpr std::uint32_t maxGroupRetries = 3;
     /// Maximum times that all stages of a request are run again because a result no longer exists.
     constexpr std::uint32_t maxStageRestarts = 1;
@@ -257,16 +257,16 @@
     auto& progress = run.stages[stage];
     if (std::exchange(progress.released, true))
         return;
-    std::map<std::string, ReleaseResults> byMaker;
+    std::map<std::string, ReleaseResults> byProducer;
     for (const auto& it : progress.results) {
         if (!it)
             continue;
-        auto& results = byMaker[it->producer.id.value()];
+        auto& results = byProducer[it->producer.id.value()];
         results.service = it->service;
         results.producer = it->producer;
         results.handles.push_back(it->value);
     }
-    for (auto& it : byMaker)
+    for (auto& it : byProducer)
         release(std::move(it.second), now, out);
 }
 
@@ -278,9 +278,9 @@
         bool needed = false;
         for (StageIndex j = 0; j < run.stages.size(); ++j) {
             const auto& needs = run.route->stages[j].dependsOn;
-            const bool takes = std::find(needs.begin(), needs.end(), i) != needs.end();
-            consumed = consumed || takes;
-            needed = needed || (takes && !run.stages[j].done());
+            const bool consumes = std::find(needs.begin(), needs.end(), i) != needs.end();
+            consumed = consumed || consumes;
+            needed = needed || (consumes && !run.stages[j].done());
         }
         if (consumed && !needed && run.stages[i].done())
             releaseStage(run, i, now, out);
--- a/src/foxtailwheel/serving/Forwarder.cpp
+++ b/src/foxtailwheel/serving/Forwarder.cpp
@@ -118,7 +118,7 @@
         return;
     const auto* openCall = run->findCall(call);
     if (auto* state = m_directory.find(run->service))
-        state->pool->onLoadReport(openCall->server, { load.running, load.waiting, now });
+        state->pool->onLoadReport(openCall->server, { load.running, load.queued, now });
 }
 
 void RoutingForwarder::onTimer(TimePoint now, ForwardActions& out)
--- a/src/foxtailwheel/serving/ForwarderTest.cpp
+++ b/src/foxtailwheel/serving/ForwarderTest.cpp
@@ -11,19 +11,19 @@
 
 constexpr TimePoint start { 1h };
 
-config::Route route(const std::string& name, config::RetryMode repeat, bool streams)
+config::Route route(const std::string& name, config::RetryMode retryMode, bool streaming)
 {
     config::Route out;
     out.name = name;
     out.host = "h.example";
     out.prefix = "/" + name + "/";
-    out.retryMode = repeat;
-    out.streaming = streams;
-    out.resumable = streams && repeat == config::RetryMode::Allowed;
+    out.retryMode = retryMode;
+    out.streaming = streaming;
+    out.resumable = streaming && retryMode == config::RetryMode::Allowed;
     out.timeout = 8s;
     out.latencyTarget = 1s;
     out.maxCallsPerRequest = 2;
-    out.targets = { { ServiceId(streams ? "model" : "desk"), 1 } };
+    out.targets = { { ServiceId(streaming ? "model" : "desk"), 1 } };
     return out;
 }
 
@@ -192,7 +192,7 @@
     cr_assert_gt(fixture.replies[0].retryAfter, Duration {});
 }
 
-Test(Forwarder, brokenIdempotentCallIsRetriedUpToMaxServers)
+Test(Forwarder, brokenIdempotentCallIsRetriedUpToMaxCallsPerRequest)
 {
     ForwarderFixture fixture;
     fixture.submit("safe");
@@ -485,15 +485,15 @@
         fixture.servers.push_back(server("more" + std::to_string(i), "desk"));
     fixture.collectActions([&](auto& out) { fixture.forwarder->setServers(fixture.servers, start, out); });
     // One instance may use 0.8 of the 50 additional retries and of the 0.2 retries per first call.
-    std::size_t repeats = 0;
+    std::size_t retries = 0;
     for (int i = 0; i < 60; ++i) {
         const auto before = fixture.sent.size();
         fixture.submit("safe");
         fixture.endCall(fixture.sent[before].call, ForwardCallOutcome::Complete, start + 1ms, 500);
-        repeats += fixture.sent.size() - before - 1;
+        retries += fixture.sent.size() - before - 1;
         if (fixture.sent.size() > before + 1)
             fixture.endCall(fixture.sent[before + 1].call, ForwardCallOutcome::Complete, start + 2ms);
     }
-    cr_assert_geq(repeats, 40);
-    cr_assert_leq(repeats, 50);
+    cr_assert_geq(retries, 40);
+    cr_assert_leq(retries, 50);
 }
--- a/src/foxtailwheel/serving/PieceBroker.cpp
+++ b/src/foxtailwheel/serving/PieceBroker.cpp
@@ -86,10 +86,10 @@
 } // namespace
 
 struct PieceBroker::Impl {
-    Impl(InstanceId s, QueueLookup f, DecisionLog n)
+    Impl(InstanceId s, QueueLookup f, DecisionLog l)
         : self(std::move(s))
         , findQueue(std::move(f))
-        , log(std::move(n))
+        , log(std::move(l))
     {
     }
 
@@ -350,7 +350,7 @@
     }
 }
 
-/// Submits the own pieces among the returned ones again; passes all other actions on.
+/// Submits the returned pieces of this instance again; passes all other actions on.
 void PieceBroker::Impl::resubmitOwnPieces(
     const ServiceId& service, BrokerActions results, TimePoint now, BrokerActions& out)
 {
@@ -489,14 +489,14 @@
         out.emplace_back(SendToInstance { owner, std::move(release) });
 }
 
-void PieceBroker::onBatchEnd(const ServiceId& service, CallId call, BatchOutcome end,
+void PieceBroker::onBatchEnd(const ServiceId& service, CallId call, BatchOutcome outcome,
     const std::vector<PieceResult>& results, TimePoint now, BrokerActions& out)
 {
     auto* queue = m_impl->findQueue(service);
     if (queue == nullptr)
         return;
     std::vector<BatchAction> actions;
-    queue->onCallEnd(call, end, results, now, actions);
+    queue->onCallEnd(call, outcome, results, now, actions);
     m_impl->applyActions(actions, now, out);
 }
 
--- a/src/foxtailwheel/serving/PoolRunPolicy.cpp
+++ b/src/foxtailwheel/serving/PoolRunPolicy.cpp
@@ -11,7 +11,7 @@
     constexpr double hedgeQuantile = 0.95;
     constexpr double hedgeFallbackFactor = 3;
     constexpr Duration minHedgeDelay = 2ms;
-    constexpr Duration streamSilenceTimeout = 1s;
+    constexpr Duration streamProgressTimeout = 1s;
     /// Cost of retrying a call that never started, which used no server time; 1 is a full attempt.
     constexpr double unstartedRetryCost = 0.05;
     /// Maximum attempts accumulated in the budget. Covers the simultaneous failure of a fifth of the servers that an
@@ -27,10 +27,10 @@
 } // namespace
 
 PoolRunPolicy::PoolRunPolicy(
-    std::function<std::shared_ptr<const ConfigSnapshot>()> currentSnapshot, bool hedging, double retryRatio)
+    std::function<std::shared_ptr<const ConfigSnapshot>()> currentSnapshot, bool hedging, double retryBudgetFraction)
     : m_currentSnapshot(std::move(currentSnapshot))
     , m_hedging(hedging)
-    , m_retryBudget(retryRatio, retryRatio > 0 ? retryBudgetCapacity : 0)
+    , m_retryBudget(retryBudgetFraction, retryBudgetFraction > 0 ? retryBudgetCapacity : 0)
 {
 }
 
@@ -54,7 +54,7 @@
 
 Duration PoolRunPolicy::progressTimeout(const pipeline::Stage& /*stage*/) const
 {
-    return streamSilenceTimeout;
+    return streamProgressTimeout;
 }
 
 bool PoolRunPolicy::tryAcquireRetry(const pipeline::Stage& /*stage*/, bool costly)
--- a/src/foxtailwheel/serving/PoolRunPolicy.h
+++ b/src/foxtailwheel/serving/PoolRunPolicy.h
@@ -17,9 +17,9 @@
 public:
     /// @param currentSnapshot Returns the active configuration.
     /// @param hedging False disables hedging.
-    /// @param retryRatio Hedges and costly retries allowed per first attempt; 0 for none.
-    PoolRunPolicy(
-        std::function<std::shared_ptr<const ConfigSnapshot>()> currentSnapshot, bool hedging, double retryRatio);
+    /// @param retryBudgetFraction Hedges and costly retries allowed per first attempt; 0 for none.
+    PoolRunPolicy(std::function<std::shared_ptr<const ConfigSnapshot>()> currentSnapshot, bool hedging,
+        double retryBudgetFraction);
 
     Duration expectedTime(const pipeline::Stage& stage) const override;
     std::optional<Duration> hedgeDelay(const pipeline::Stage& stage) const override;
--- a/src/foxtailwheel/serving/ServerDirectory.cpp
+++ b/src/foxtailwheel/serving/ServerDirectory.cpp
@@ -109,8 +109,8 @@
     for (const auto& it : state->pool->serversByZone()) {
         double share = 1;
         for (const auto& stage : stages) {
-            if (const auto* before = find(stage))
-                share = std::min(share, shareOf(before->pool->serversByZone(), it.first));
+            if (const auto* stageState = find(stage))
+                share = std::min(share, shareOf(stageState->pool->serversByZone(), it.first));
         }
         if (share > 0)
             shares[it.first] = share;
--- a/src/foxtailwheel/testing/FaultSimulation.cpp
+++ b/src/foxtailwheel/testing/FaultSimulation.cpp
@@ -285,8 +285,8 @@
                     m_instances[instance]->dispatcher->onClaim(run, stage, result, m_clock.now(), followUp);
                     handleActions(instance, std::move(followUp));
                 });
-        } else if (const auto* end = std::get_if<serving::CompleteClaim>(&action)) {
-            fake.claims->recordOutcome(*end);
+        } else if (const auto* completion = std::get_if<serving::CompleteClaim>(&action)) {
+            fake.claims->recordOutcome(*completion);
         } else if (const auto* tokens = std::get_if<pipeline::EmitTokens>(&action)) {
             onTokens(*tokens);
         } else if (const auto* reply = std::get_if<serving::Reply>(&action)) {
