--- a/include/foxtailwheel/backend/ForwardProtocol.h
+++ b/include/foxtailwheel/backend/ForwardProtocol.h
@@ -48,7 +48,7 @@
     virtual BatchResponse decodeBatch(const serving::SendBatch& batch, const http::Response& response) const = 0;
     /// @brief Encodes the request that releases stage results.
     virtual http::Request encodeRelease(const std::vector<std::string>& handles) const = 0;
-    /// @brief Adds the time after which the caller may retry to a rejection.
+    /// @brief Adds to a rejection the time after which the caller may retry.
     virtual void addRetryAfter(http::Response& response, Duration retryAfter) const = 0;
 };
 
--- a/include/foxtailwheel/control/Claim.h
+++ b/include/foxtailwheel/control/Claim.h
@@ -79,6 +79,6 @@
 
 /// @brief Transaction that records the outcome of a claimed call; conditional on the row's version.
 store::Transaction claimOutcomeTransaction(const std::string& key, const ClaimRow& held, std::uint64_t version,
-    pipeline::ClaimOutcome end, const pipeline::Payload& answer);
+    pipeline::ClaimOutcome outcome, const pipeline::Payload& answer);
 
 } // namespace foxtailwheel::control
--- a/include/foxtailwheel/control/ClaimStore.h
+++ b/include/foxtailwheel/control/ClaimStore.h
@@ -17,13 +17,13 @@
 public:
     /// @param table Must outlive the claim store, like `clock`.
     static std::unique_ptr<ClaimStore> create(
-        store::Table& table, const Clock& clock, InstanceId self, std::uint64_t seed, RunAfter defer);
+        store::Table& table, const Clock& clock, InstanceId self, std::uint64_t seed, RunAfter runAfter);
     virtual ~ClaimStore() = default;
 
     /// @brief Requests a claim; `done` is called once, shortly after the call's deadline at the latest.
     virtual void claim(const serving::AcquireClaim& call, std::function<void(pipeline::ClaimResult)> done) = 0;
     /// @brief Records the outcome of a claimed call; retried for up to `recordRetryTimeout` on failure.
-    virtual void recordOutcome(const serving::CompleteClaim& ended) = 0;
+    virtual void recordOutcome(const serving::CompleteClaim& completion) = 0;
     /// @brief Number of records that are not yet written.
     virtual std::size_t pendingRecords() const = 0;
 
--- a/include/foxtailwheel/control/ConfigFollower.h
+++ b/include/foxtailwheel/control/ConfigFollower.h
@@ -53,11 +53,10 @@
     /// @brief Handles timeouts and due reads; called periodically.
     void tick(TimePoint now, ConfigFollowerActions& out);
     /// @brief Handles the result of reading the head row; `head` is empty if there is no configuration yet.
-    void onHead(bool answered, const std::optional<ConfigHead>& head, TimePoint now, ConfigFollowerActions& out);
+    void onHead(bool succeeded, const std::optional<ConfigHead>& head, TimePoint now, ConfigFollowerActions& out);
     /// @brief Handles a peer's announcement of its active version; 0 for none.
     void onPeerVersion(const InstanceId& peer, ConfigVersion version, TimePoint now, ConfigFollowerActions& out);
-    /// @brief Handles the end of a fetch; the caller has verified the text against its hash, and it is empty on
-    /// failure.
+    /// @brief Handles the end of a fetch; `text` is empty if it failed or a peer's text did not match its hash.
     void onText(
         ConfigVersion version, const std::optional<std::string>& text, TimePoint now, ConfigFollowerActions& out);
 
@@ -74,7 +73,7 @@
     ConfigFollowerOptions m_options;
     Random m_random;
     bool m_isPoller = true;
-    bool m_tableAnswered = false;
+    bool m_tableResponded = false;
     std::map<InstanceId, ConfigVersion> m_peerVersions;
     ConfigVersion m_activeVersion;
     ConfigVersion m_latestKnownVersion;
--- a/include/foxtailwheel/control/TableFollower.h
+++ b/include/foxtailwheel/control/TableFollower.h
@@ -16,7 +16,7 @@
 struct TableFollowerOptions {
     std::string table;
     Duration maxWait {}; ///< Long-poll timeout: maximum time that the store waits for a change.
-    Duration responseTimeout = std::chrono::milliseconds(1200); ///< Time beyond `wait` after which a call has failed.
+    Duration responseTimeout = std::chrono::milliseconds(1200); ///< A call fails this long after its wait has ended.
     Duration probeTimeout = std::chrono::milliseconds(500); ///< Response timeout while the store is unavailable.
     Duration retryDelay = std::chrono::milliseconds(250); ///< Minimum delay after a failure; jitter can double it.
     Duration coalesceDelay = std::chrono::milliseconds(100); ///< Delay after a change, to return several in one call.
@@ -37,8 +37,8 @@
 /// @brief A response of the store, forwarded by the instance that received it.
 struct TableUpdate {
     std::string table;
-    std::uint64_t after = 0; ///< The version that the changes apply to.
-    store::FeedResult answer;
+    std::uint64_t baseVersion = 0; ///< The version that the changes apply to.
+    store::FeedResult changes;
 
     friend bool operator==(const TableUpdate&, const TableUpdate&) = default;
 };
@@ -57,17 +57,17 @@
     using Publish = std::function<void(const TableUpdate&)>;
 
     /// @param publish May be empty.
-    TableFollower(store::ChangeFeed& feed, const Clock& clock, TableFollowerOptions options, RunAfter after,
-        OnChange changed, Publish publish = {});
+    TableFollower(store::ChangeFeed& feed, const Clock& clock, TableFollowerOptions options, RunAfter runAfter,
+        OnChange onChange, Publish publish = {});
     ~TableFollower();
     TableFollower(const TableFollower&) = delete;
     TableFollower& operator=(const TableFollower&) = delete;
 
     void start();
     /// @brief Sets whether this follower polls the store or receives updates from another instance.
-    void setPolling(bool asking);
+    void setPolling(bool polling);
     /// @brief Handles an update from another instance.
-    void onUpdate(const TableUpdate& news);
+    void onUpdate(const TableUpdate& update);
     const TableReplica& table() const;
 
 private:
--- a/include/foxtailwheel/daemon/PeerLink.h
+++ b/include/foxtailwheel/daemon/PeerLink.h
@@ -24,7 +24,7 @@
         onMembersChanged;
     std::function<void(const InstanceId& from, const serving::PieceMessage& message)> onPieceMessage;
     std::function<void(const InstanceId& instance)> onConnectionLost; ///< Requests sent to it may be lost.
-    std::function<void(const control::TableUpdate& news)> onTableUpdate;
+    std::function<void(const control::TableUpdate& update)> onTableUpdate;
     std::function<void(bool)> onPollerChanged; ///< Whether this instance polls the store for its zone.
 };
 
@@ -44,7 +44,7 @@
     /// @brief Sends a message about pieces; drops it if the instance is unknown or unreachable.
     void send(const InstanceId& to, const serving::PieceMessage& message);
     /// @brief Forwards a store response to the other live instances of this zone.
-    void sendToZone(const control::TableUpdate& news);
+    void sendToZone(const control::TableUpdate& update);
     /// @brief Announces to the other instances that this one is leaving.
     void leave();
     /// @brief Returns all known instances.
--- a/include/foxtailwheel/http/Client.h
+++ b/include/foxtailwheel/http/Client.h
@@ -59,7 +59,7 @@
     static std::unique_ptr<Client> create(IoPool& pool, const Clock& clock);
     virtual ~Client() = default;
     /// @brief Starts a call; no callback runs inside this function.
-    virtual std::shared_ptr<Call> start(CallRequest request, CallCallbacks events) = 0;
+    virtual std::shared_ptr<Call> start(CallRequest request, CallCallbacks callbacks) = 0;
 };
 
 } // namespace foxtailwheel::http
--- a/include/foxtailwheel/store/Table.h
+++ b/include/foxtailwheel/store/Table.h
@@ -59,7 +59,7 @@
 class Table {
 public:
     virtual ~Table() = default;
-    /// @brief Applies a transaction; `done` is called exactly once, at most shortly after `deadline`.
+    /// @brief Applies a transaction; `done` is called exactly once, shortly after `deadline` at the latest.
     virtual void transact(Transaction transaction, TimePoint deadline, std::function<void(TransactResult)> done) = 0;
     /// @brief Reads one row.
     virtual void read(std::string key, TimePoint deadline, std::function<void(ReadResult)> done) = 0;
--- a/src/foxtailwheel/apps/foxtailwheel-bench.cpp
+++ b/src/foxtailwheel/apps/foxtailwheel-bench.cpp
@@ -70,14 +70,14 @@
     const auto knownRedList = readFile("KNOWN-RED.txt");
     if (!knownRedList)
         return reportError(knownRedList.error());
-    const auto verdict = bench::checkTargets(rows, knownRedList.value());
-    for (const auto& it : verdict.knownViolations)
+    const auto checkResult = bench::checkTargets(rows, knownRedList.value());
+    for (const auto& it : checkResult.knownViolations)
         std::cout << "known red: " << it << "\n";
-    for (const auto& it : verdict.violations)
+    for (const auto& it : checkResult.violations)
         std::cout << "broken: " << it << "\n";
-    std::cout << verdict.checkedBounds << " bounds checked, " << verdict.knownViolations.size() << " known red, "
-              << verdict.violations.size() << " broken\n";
-    return verdict.violations.empty() ? 0 : 1;
+    std::cout << checkResult.checkedBounds << " bounds checked, " << checkResult.knownViolations.size()
+              << " known red, " << checkResult.violations.size() << " broken\n";
+    return checkResult.violations.empty() ? 0 : 1;
 }
 
 } // namespace
--- a/src/foxtailwheel/apps/foxtailwheel-load.cpp
+++ b/src/foxtailwheel/apps/foxtailwheel-load.cpp
@@ -103,12 +103,12 @@
     const auto expected = standin::generatedText(json(makePrompt(n)).dump(), maxTokens);
     if (kind == RequestKind::Streaming)
         return streamedText(body) == expected;
-    const auto answer = json::parse(body, nullptr, false);
-    if (!answer.is_object() || !answer.contains("result"))
+    const auto response = json::parse(body, nullptr, false);
+    if (!response.is_object() || !response.contains("result"))
         return false;
     if (kind == RequestKind::Unary)
-        return answer["result"] == expected;
-    return answer["result"].is_object() && answer["result"].value("echo", json()) == makeBody(kind, n);
+        return response["result"] == expected;
+    return response["result"].is_object() && response["result"].value("echo", json()) == makeBody(kind, n);
 }
 
 class LoadGenerator {
@@ -158,13 +158,13 @@
     if (kind == RequestKind::Streaming)
         request.headers.push_back({ "Accept", "text/event-stream" });
     auto streamed = std::make_shared<std::string>();
-    http::CallCallbacks events;
+    http::CallCallbacks callbacks;
     if (kind == RequestKind::Streaming)
-        events.onData = [streamed](std::string_view chunk) { streamed->append(chunk); };
-    events.onDone
+        callbacks.onData = [streamed](std::string_view chunk) { streamed->append(chunk); };
+    callbacks.onDone
         = [this, kind, n, streamed](const http::CallResult& result) { onRequestDone(kind, n, result, *streamed); };
     m_client->start(
-        { endpoint, std::move(request), deadline, deadline, kind != RequestKind::Booking }, std::move(events));
+        { endpoint, std::move(request), deadline, deadline, kind != RequestKind::Booking }, std::move(callbacks));
 }
 
 void LoadGenerator::onRequestDone(
@@ -208,13 +208,13 @@
     std::condition_variable changed;
     int status = -1;
     const auto deadline = m_clock->now() + 200ms;
-    http::CallCallbacks events;
-    events.onDone = [&](const http::CallResult& result) {
+    http::CallCallbacks callbacks;
+    callbacks.onDone = [&](const http::CallResult& result) {
         const std::lock_guard lock(mutex);
         status = result.outcome == http::TransportOutcome::Complete ? static_cast<int>(result.response.status) : 0;
         changed.notify_all();
     };
-    m_client->start({ endpoint, { "GET", "/readyz", {}, {} }, deadline, deadline, false }, std::move(events));
+    m_client->start({ endpoint, { "GET", "/readyz", {}, {} }, deadline, deadline, false }, std::move(callbacks));
     std::unique_lock lock(mutex);
     changed.wait(lock, [&] { return status >= 0; });
     return status == 200;
@@ -255,14 +255,14 @@
     bool done = false;
     const auto startTime = m_clock->now();
     http::Request request { "POST", target, { { "Authorization", "Bearer " + m_credential } }, body };
-    http::CallCallbacks events;
-    events.onDone = [&](const http::CallResult& /*result*/) {
+    http::CallCallbacks callbacks;
+    callbacks.onDone = [&](const http::CallResult& /*result*/) {
         const std::lock_guard lock(mutex);
         done = true;
         changed.notify_all();
     };
     m_client->start({ endpoint, std::move(request), startTime + requestTimeout, startTime + requestTimeout, true },
-        std::move(events));
+        std::move(callbacks));
     std::unique_lock lock(mutex);
     changed.wait(lock, [&] { return done; });
     return m_clock->now() - startTime;
@@ -298,8 +298,8 @@
     const auto now = m_clock->now();
     http::Request request { "POST", "/v1/pipelines/portal/runs", { { "Authorization", "Bearer " + m_credential } },
         R"({"order": 1})" };
-    http::CallCallbacks events;
-    events.onDone = [this, endpoint, deadline](const http::CallResult& result) {
+    http::CallCallbacks callbacks;
+    callbacks.onDone = [this, endpoint, deadline](const http::CallResult& result) {
         ++(result.outcome == http::TransportOutcome::Complete && result.response.status == 200 ? m_counts.correct
                                                                                                : m_counts.notRun);
         if (m_clock->now() < deadline)
@@ -307,7 +307,7 @@
         m_requestsInProgress.done();
     };
     m_client->start(
-        { endpoint, std::move(request), now + requestTimeout, now + requestTimeout, true }, std::move(events));
+        { endpoint, std::move(request), now + requestTimeout, now + requestTimeout, true }, std::move(callbacks));
 }
 
 /// Keeps `concurrency` requests in progress on one instance and prints the throughput.
--- a/src/foxtailwheel/apps/foxtailwheel-slopes.cpp
+++ b/src/foxtailwheel/apps/foxtailwheel-slopes.cpp
@@ -103,23 +103,23 @@
     std::fflush(stdout);
 }
 
-void measureRateDivision(std::size_t accounts, std::size_t instances)
+void measureRateAllocation(std::size_t accounts, std::size_t instances)
 {
-    limits::RateAllocator ledger;
+    limits::RateAllocator allocator;
     std::vector<InstanceId> ids;
     for (std::size_t i = 0; i < instances; ++i)
         ids.emplace_back("instance-" + std::to_string(i));
     const double heapBefore = heapBytes();
     for (std::size_t i = 0; i < accounts; ++i) {
         for (std::size_t j = 0; j < 8; ++j)
-            ledger.setDemand(
+            allocator.setDemand(
                 ClientAccountId("account-" + std::to_string(i)), ids[(i + j) % instances], 1, TimePoint(1h));
     }
     const double heapGrowth = heapBytes() - heapBefore;
     const double cpuStart = cpuSeconds();
     std::size_t shares = 0;
-    for (const auto& it : ledger.accounts())
-        shares += ledger.allocate(it, 10, ids, TimePoint(1h)).size();
+    for (const auto& it : allocator.accounts())
+        shares += allocator.allocate(it, 10, ids, TimePoint(1h)).size();
     std::printf("rates owned_accounts=%zu instances=%zu divide_s=%.5f parts=%zu heap_bytes=%.0f\n", accounts, instances,
         cpuSeconds() - cpuStart, shares, heapGrowth);
     std::fflush(stdout);
@@ -136,6 +136,6 @@
     for (const std::size_t accounts : std::array { 5, 1000, 10000, 46000 })
         measureConfiguration(20, accounts);
     for (const std::size_t instances : std::array { 9, 225, 1800 })
-        measureRateDivision(26, instances);
+        measureRateAllocation(26, instances);
     return 0;
 }
--- a/src/foxtailwheel/cli/ApiClient.cpp
+++ b/src/foxtailwheel/cli/ApiClient.cpp
@@ -26,10 +26,10 @@
             request.headers.push_back({ "Authorization", "Bearer " + m_bearerToken });
             const auto deadline = m_clock->now() + timeout;
             auto promise = std::make_shared<std::promise<http::CallResult>>();
-            http::CallCallbacks events;
-            events.onData = std::move(onData);
-            events.onDone = [promise](http::CallResult result) { promise->set_value(std::move(result)); };
-            m_client->start({ m_endpoint, std::move(request), deadline, deadline, false }, std::move(events));
+            http::CallCallbacks callbacks;
+            callbacks.onData = std::move(onData);
+            callbacks.onDone = [promise](http::CallResult result) { promise->set_value(std::move(result)); };
+            m_client->start({ m_endpoint, std::move(request), deadline, deadline, false }, std::move(callbacks));
             auto result = promise->get_future().get();
             if (result.outcome == http::TransportOutcome::Complete)
                 return std::move(result.response);
--- a/src/foxtailwheel/control/Claim.cpp
+++ b/src/foxtailwheel/control/Claim.cpp
@@ -147,15 +147,15 @@
 }
 
 store::Transaction claimOutcomeTransaction(const std::string& key, const ClaimRow& held, std::uint64_t version,
-    pipeline::ClaimOutcome end, const pipeline::Payload& answer)
+    pipeline::ClaimOutcome outcome, const pipeline::Payload& answer)
 {
     store::Transaction transaction { { { key, version } }, {} };
-    if (end == pipeline::ClaimOutcome::NotStarted) {
+    if (outcome == pipeline::ClaimOutcome::NotStarted) {
         transaction.writes.push_back({ key, std::nullopt });
         return transaction;
     }
     auto row = held;
-    row.progress = end == pipeline::ClaimOutcome::Answered ? ClaimProgress::Answered : ClaimProgress::Unknown;
+    row.progress = outcome == pipeline::ClaimOutcome::Answered ? ClaimProgress::Answered : ClaimProgress::Unknown;
     row.answer = answer ? *answer : std::string();
     transaction.writes.push_back({ key, encodeClaimRow(row) });
     return transaction;
--- a/src/foxtailwheel/control/ClaimStore.cpp
+++ b/src/foxtailwheel/control/ClaimStore.cpp
@@ -29,7 +29,7 @@
         }
 
         void claim(const serving::AcquireClaim& call, std::function<void(pipeline::ClaimResult)> done) override;
-        void recordOutcome(const serving::CompleteClaim& ended) override;
+        void recordOutcome(const serving::CompleteClaim& completion) override;
         std::size_t pendingRecords() const override;
 
     private:
@@ -44,7 +44,7 @@
         struct PendingRecord {
             std::string key;
             ClaimRow row;
-            pipeline::ClaimOutcome end = pipeline::ClaimOutcome::Unknown;
+            pipeline::ClaimOutcome outcome = pipeline::ClaimOutcome::Unknown;
             pipeline::Payload answer;
             TimePoint retryUntil;
             Duration retryDelay = initialRetryDelay;
@@ -140,21 +140,21 @@
         pending->done(machine.result());
     }
 
-    void TableClaimStore::recordOutcome(const serving::CompleteClaim& ended)
+    void TableClaimStore::recordOutcome(const serving::CompleteClaim& completion)
     {
         auto pending = std::make_shared<PendingRecord>();
         {
             const std::lock_guard lock(m_mutex);
-            const auto it = m_grantedClaims.find({ ended.run, ended.stage });
+            const auto it = m_grantedClaims.find({ completion.run, completion.stage });
             if (it == m_grantedClaims.end())
                 return;
             pending->row = std::move(it->second);
             m_grantedClaims.erase(it);
             ++m_pendingRecords;
         }
-        pending->key = claimRowKey(ended.key);
-        pending->end = ended.outcome;
-        pending->answer = ended.answer;
+        pending->key = claimRowKey(completion.key);
+        pending->outcome = completion.outcome;
+        pending->answer = completion.answer;
         pending->retryUntil = m_clock.now() + recordRetryTimeout;
         // A newly inserted row has version 1. If the version differs, the condition fails and the row is read.
         writeRecord(pending, { pending->key, {}, 1 });
@@ -180,7 +180,7 @@
     void TableClaimStore::writeRecord(const std::shared_ptr<PendingRecord>& pending, const store::Row& row)
     {
         auto transaction
-            = claimOutcomeTransaction(pending->key, pending->row, row.version, pending->end, pending->answer);
+            = claimOutcomeTransaction(pending->key, pending->row, row.version, pending->outcome, pending->answer);
         m_table.transact(
             std::move(transaction), m_clock.now() + tableTimeout, [this, pending](const store::TransactResult& result) {
                 if (result.outcome == store::TransactOutcome::Applied)
--- a/src/foxtailwheel/control/ConfigFollower.cpp
+++ b/src/foxtailwheel/control/ConfigFollower.cpp
@@ -19,7 +19,7 @@
 
 bool ConfigFollower::caughtUp() const
 {
-    const bool hasResponses = m_tableAnswered || m_peerVersions.size() >= m_options.minPeersToStart;
+    const bool hasResponses = m_tableResponded || m_peerVersions.size() >= m_options.minPeersToStart;
     return hasResponses && m_activeVersion.value() > 0 && m_activeVersion >= m_latestKnownVersion;
 }
 
@@ -39,11 +39,11 @@
 }
 
 void ConfigFollower::onHead(
-    bool answered, const std::optional<ConfigHead>& head, TimePoint now, ConfigFollowerActions& out)
+    bool succeeded, const std::optional<ConfigHead>& head, TimePoint now, ConfigFollowerActions& out)
 {
-    if (!answered)
+    if (!succeeded)
         return;
-    m_tableAnswered = true;
+    m_tableResponded = true;
     if (head)
         m_latestKnownVersion = std::max(m_latestKnownVersion, head->version);
     fetchIfBehind(now, out);
--- a/src/foxtailwheel/control/ConfigTest.cpp
+++ b/src/foxtailwheel/control/ConfigTest.cpp
@@ -167,14 +167,14 @@
     ConfigFollower follower({}, 1);
     ConfigFollowerActions actions;
     follower.onPeerVersion(InstanceId("a"), ConfigVersion(2), start, actions);
-    bool askedTable = false;
+    bool fetchedFromTable = false;
     TimePoint now = start;
-    for (int i = 0; i < 20 && !askedTable; ++i, now += 100ms) {
+    for (int i = 0; i < 20 && !fetchedFromTable; ++i, now += 100ms) {
         actions.clear();
         follower.onText(ConfigVersion(2), std::nullopt, now, actions);
         follower.tick(now, actions);
         const auto* fetch = find<FetchText>(actions);
-        askedTable = fetch != nullptr && !fetch->peer;
+        fetchedFromTable = fetch != nullptr && !fetch->peer;
     }
-    cr_assert(askedTable);
+    cr_assert(fetchedFromTable);
 }
--- a/src/foxtailwheel/control/TableFollower.cpp
+++ b/src/foxtailwheel/control/TableFollower.cpp
@@ -26,13 +26,13 @@
 }
 
 struct TableFollower::Impl : std::enable_shared_from_this<TableFollower::Impl> {
-    Impl(store::ChangeFeed& f, const Clock& c, TableFollowerOptions o, RunAfter a, OnChange ch, Publish t)
+    Impl(store::ChangeFeed& f, const Clock& c, TableFollowerOptions o, RunAfter a, OnChange ch, Publish p)
         : feed(f)
         , clock(c)
         , options(std::move(o))
-        , after(std::move(a))
-        , changed(std::move(ch))
-        , publish(std::move(t))
+        , runAfter(std::move(a))
+        , onChange(std::move(ch))
+        , publish(std::move(p))
         , random(options.seed)
     {
     }
@@ -41,16 +41,16 @@
     void pollAfter(Duration delay);
     void scheduleNext(bool hasChanges);
     void watchForSilence();
-    void onUpdate(const TableUpdate& news);
-    void onResponse(store::FeedResult answer, TimePoint sentAt, std::uint64_t after);
+    void onUpdate(const TableUpdate& update);
+    void onResponse(store::FeedResult result, TimePoint sentAt, std::uint64_t baseVersion);
     bool applyRows(std::vector<store::FeedRow> rows);
     void onUnavailable();
 
     store::ChangeFeed& feed;
     const Clock& clock;
     TableFollowerOptions options;
-    RunAfter after;
-    OnChange changed;
+    RunAfter runAfter;
+    OnChange onChange;
     Publish publish;
     Random random;
     TableReplica table;
@@ -67,9 +67,9 @@
 {
     const auto now = clock.now();
     callPending = true;
-    auto done = [weak = weak_from_this(), now, from = version](store::FeedResult answer) {
+    auto done = [weak = weak_from_this(), now, baseVersion = version](store::FeedResult result) {
         if (const auto self = weak.lock())
-            self->onResponse(std::move(answer), now, from);
+            self->onResponse(std::move(result), now, baseVersion);
     };
     // A follower that does not poll only catches up, so its call does not wait for a change.
     // While the store is unavailable, short calls in quick succession detect its recovery early.
@@ -85,7 +85,7 @@
 void TableFollower::Impl::pollAfter(Duration delay)
 {
     callPending = true;
-    after(delay, [weak = weak_from_this()] {
+    runAfter(delay, [weak = weak_from_this()] {
         if (const auto self = weak.lock())
             self->poll();
     });
@@ -107,7 +107,7 @@
 {
     if (std::exchange(watching, true))
         return;
-    after(std::max<Duration>(lastUpdateAt + options.silenceTimeout - clock.now(), Duration {}),
+    runAfter(std::max<Duration>(lastUpdateAt + options.silenceTimeout - clock.now(), Duration {}),
         [weak = weak_from_this()] {
             const auto self = weak.lock();
             if (!self)
@@ -122,25 +122,25 @@
         });
 }
 
-void TableFollower::Impl::onUpdate(const TableUpdate& news)
+void TableFollower::Impl::onUpdate(const TableUpdate& update)
 {
-    if (!synced || news.answer.version <= version) {
+    if (!synced || update.changes.version <= version) {
         // The same version contains no new changes, but confirms that the table was current at the store's time.
-        if (!synced || news.answer.version < version)
+        if (!synced || update.changes.version < version)
             return;
-    } else if (news.after > version) {
+    } else if (update.baseVersion > version) {
         if (!callPending)
             poll();
         return;
     }
-    const auto asOf = bound.observeForwarded(news.answer.storeTime);
+    const auto asOf = bound.observeForwarded(update.changes.storeTime);
     if (!asOf)
         return;
     lastUpdateAt = clock.now();
     table.asOf = std::max(table.asOf, *asOf);
-    const bool rowsChanged = applyRows(news.answer.rows);
-    version = std::max(version, news.answer.version);
-    changed(table, rowsChanged);
+    const bool rowsChanged = applyRows(update.changes.rows);
+    version = std::max(version, update.changes.version);
+    onChange(table, rowsChanged);
 }
 
 bool TableFollower::Impl::applyRows(std::vector<store::FeedRow> rows)
@@ -169,20 +169,20 @@
     const auto now = clock.now();
     table.lastUnavailableAt = now;
     if (std::exchange(table.available, false))
-        changed(table, false);
+        onChange(table, false);
     // A follower that does not poll leaves probing to the polling instance, and calls only as often as without updates.
     const auto retryDelay = polling || !synced ? options.retryDelay : options.silenceTimeout / 2;
     pollAfter(retryDelay + fromSeconds(toSeconds(retryDelay) * random.uniform()));
 }
 
-void TableFollower::Impl::onResponse(store::FeedResult answer, TimePoint sentAt, std::uint64_t from)
+void TableFollower::Impl::onResponse(store::FeedResult result, TimePoint sentAt, std::uint64_t baseVersion)
 {
     callPending = false;
-    if (answer.outcome == store::FeedOutcome::Unavailable) {
+    if (result.outcome == store::FeedOutcome::Unavailable) {
         onUnavailable();
         return;
     }
-    if (answer.outcome == store::FeedOutcome::HistoryLost) {
+    if (result.outcome == store::FeedOutcome::HistoryLost) {
         synced = false;
         poll();
         return;
@@ -190,20 +190,20 @@
     if (!std::exchange(table.available, true))
         table.recoveredAt = clock.now();
     lastUpdateAt = clock.now();
-    table.asOf = std::max(table.asOf, bound.observe(sentAt, answer.storeTime));
+    table.asOf = std::max(table.asOf, bound.observe(sentAt, result.storeTime));
     if (publish && polling && synced)
-        publish({ options.table, from, answer });
-    const bool rowsChanged = applyRows(std::move(answer.rows));
+        publish({ options.table, baseVersion, result });
+    const bool rowsChanged = applyRows(std::move(result.rows));
     const bool wasSynced = std::exchange(synced, true);
-    version = std::max(version, answer.version);
-    changed(table, rowsChanged);
+    version = std::max(version, result.version);
+    onChange(table, rowsChanged);
     scheduleNext(wasSynced && rowsChanged);
 }
 
-TableFollower::TableFollower(store::ChangeFeed& feed, const Clock& clock, TableFollowerOptions options, RunAfter after,
-    OnChange changed, Publish publish)
+TableFollower::TableFollower(store::ChangeFeed& feed, const Clock& clock, TableFollowerOptions options,
+    RunAfter runAfter, OnChange onChange, Publish publish)
     : m_impl(std::make_shared<Impl>(
-        feed, clock, std::move(options), std::move(after), std::move(changed), std::move(publish)))
+        feed, clock, std::move(options), std::move(runAfter), std::move(onChange), std::move(publish)))
 {
 }
 
@@ -222,9 +222,9 @@
         m_impl->poll();
 }
 
-void TableFollower::onUpdate(const TableUpdate& news)
+void TableFollower::onUpdate(const TableUpdate& update)
 {
-    m_impl->onUpdate(news);
+    m_impl->onUpdate(update);
 }
 
 const TableReplica& TableFollower::table() const
--- a/src/foxtailwheel/control/TableFollowerTest.cpp
+++ b/src/foxtailwheel/control/TableFollowerTest.cpp
@@ -17,7 +17,7 @@
 
 struct FakeFeed final : store::ChangeFeed {
     struct Call {
-        bool whole = false;
+        bool isReadAll = false;
         std::uint64_t after = 0;
         Duration wait {};
         Callback done;
@@ -32,11 +32,11 @@
     {
         calls.push_back({ false, after, wait, std::move(done) });
     }
-    void answer(FeedResult answer)
+    void respond(FeedResult result)
     {
         auto next = std::move(calls.front());
         calls.pop_front();
-        next.done(std::move(answer));
+        next.done(std::move(result));
     }
 
     std::deque<Call> calls;
@@ -53,7 +53,7 @@
         follower = std::make_unique<TableFollower>(
             feed, clock, options,
             [this](Duration d, std::function<void()> work) { scheduled.emplace_back(d, std::move(work)); },
-            [this](const control::TableReplica&, bool rows) { changes += rows ? 1 : 0; },
+            [this](const control::TableReplica&, bool rowsChanged) { changes += rowsChanged ? 1 : 0; },
             [this](const TableUpdate& it) { forwarded.push_back(it); });
         follower->start();
     }
@@ -83,9 +83,9 @@
 Test(TableFollower, readsTheTableThenPollsForChanges)
 {
     Fixture fixture;
-    fixture.feed.answer(Fixture::rows(5, { { "config", "one" } }));
+    fixture.feed.respond(Fixture::rows(5, { { "config", "one" } }));
     cr_assert_eq(fixture.feed.calls.front().after, 5);
-    fixture.feed.answer(Fixture::rows(7, { { "config", "two" }, { "old", std::nullopt } }));
+    fixture.feed.respond(Fixture::rows(7, { { "config", "two" }, { "old", std::nullopt } }));
     cr_assert_eq(fixture.follower->table().rows.at("config"), "two");
     cr_assert_eq(fixture.changes, 2);
     cr_assert_eq(fixture.forwarded.size(), 1, "changes are forwarded, the initial read is not");
@@ -94,23 +94,23 @@
 Test(TableFollower, coalescesChangesInQuickSuccession)
 {
     Fixture fixture;
-    fixture.feed.answer(Fixture::rows(5, { { "a", "1" } }));
-    fixture.feed.answer(Fixture::rows(6, { { "b", "1" } }));
+    fixture.feed.respond(Fixture::rows(5, { { "a", "1" } }));
+    fixture.feed.respond(Fixture::rows(6, { { "b", "1" } }));
     cr_assert_eq(fixture.feed.calls.size(), 0, "the next call is delayed to coalesce changes");
     cr_assert_eq(fixture.scheduled.back().first, 100ms);
     fixture.runScheduled(100ms);
     cr_assert_eq(fixture.feed.calls.front().after, 6);
-    fixture.feed.answer(Fixture::rows(6, {}));
+    fixture.feed.respond(Fixture::rows(6, {}));
     cr_assert_eq(fixture.feed.calls.size(), 1, "without changes the next call follows immediately");
 }
 
 Test(TableFollower, readsTheTableAgainAfterLostHistory)
 {
     Fixture fixture;
-    fixture.feed.answer(Fixture::rows(5, { { "a", "1" }, { "b", "2" } }));
-    fixture.feed.answer({ FeedOutcome::HistoryLost, {}, 0, {} });
-    cr_assert(fixture.feed.calls.front().whole);
-    fixture.feed.answer(Fixture::rows(9, { { "b", "3" } }));
+    fixture.feed.respond(Fixture::rows(5, { { "a", "1" }, { "b", "2" } }));
+    fixture.feed.respond({ FeedOutcome::HistoryLost, {}, 0, {} });
+    cr_assert(fixture.feed.calls.front().isReadAll);
+    fixture.feed.respond(Fixture::rows(9, { { "b", "3" } }));
     cr_assert_eq(fixture.follower->table().rows.size(), 1);
     cr_assert_eq(fixture.follower->table().rows.at("b"), "3");
 }
@@ -118,15 +118,15 @@
 Test(TableFollower, keepsRowsAndRetriesWhileTheStoreIsUnavailable)
 {
     Fixture fixture;
-    fixture.feed.answer(Fixture::rows(5, { { "a", "1" } }));
-    fixture.feed.answer({ FeedOutcome::Unavailable, {}, 0, {} });
+    fixture.feed.respond(Fixture::rows(5, { { "a", "1" } }));
+    fixture.feed.respond({ FeedOutcome::Unavailable, {}, 0, {} });
     cr_assert(!fixture.follower->table().available);
     cr_assert_eq(fixture.follower->table().rows.size(), 1);
     cr_assert(fixture.feed.calls.empty());
     fixture.runScheduled(500ms);
     cr_assert_eq(fixture.feed.calls.front().after, 5);
     cr_assert(fixture.feed.calls.front().wait == Duration {}, "a call to an unavailable store does not wait");
-    fixture.feed.answer(Fixture::rows(5, {}));
+    fixture.feed.respond(Fixture::rows(5, {}));
     cr_assert(fixture.follower->table().available);
     cr_assert(fixture.feed.calls.front().wait == 1500ms);
 }
@@ -134,9 +134,9 @@
 Test(TableFollower, doesNotCallTheStoreWhileUpdatesArrive)
 {
     Fixture fixture;
-    fixture.feed.answer(Fixture::rows(5, { { "a", "1" } }, 10s));
+    fixture.feed.respond(Fixture::rows(5, { { "a", "1" } }, 10s));
     fixture.follower->setPolling(false);
-    fixture.feed.answer(Fixture::rows(5, {}, 11s));
+    fixture.feed.respond(Fixture::rows(5, {}, 11s));
     cr_assert(fixture.feed.calls.empty());
     for (std::uint64_t i = 0; i < 5; ++i) {
         fixture.clock.advance(1500ms);
@@ -152,9 +152,9 @@
 Test(TableFollower, callsTheStoreIfUpdatesStop)
 {
     Fixture fixture;
-    fixture.feed.answer(Fixture::rows(5, {}));
+    fixture.feed.respond(Fixture::rows(5, {}));
     fixture.follower->setPolling(false);
-    fixture.feed.answer(Fixture::rows(5, {}));
+    fixture.feed.respond(Fixture::rows(5, {}));
     fixture.runScheduled(2s);
     cr_assert_eq(fixture.feed.calls.size(), 1);
     cr_assert_eq(fixture.feed.calls.front().wait, Duration {});
@@ -163,9 +163,9 @@
 Test(TableFollower, callsTheStoreAfterAMissedUpdate)
 {
     Fixture fixture;
-    fixture.feed.answer(Fixture::rows(5, { { "a", "1" } }));
+    fixture.feed.respond(Fixture::rows(5, { { "a", "1" } }));
     fixture.follower->setPolling(false);
-    fixture.feed.answer(Fixture::rows(5, {}));
+    fixture.feed.respond(Fixture::rows(5, {}));
     fixture.follower->onUpdate({ "op", 8, Fixture::rows(9, { { "b", "2" } }) });
     cr_assert_eq(fixture.follower->table().rows.count("b"), 0, "an update with a gap must not be applied");
     cr_assert_eq(fixture.feed.calls.front().after, 5);
@@ -174,7 +174,7 @@
 Test(TableFollower, ignoresUpdatesOfEarlierVersions)
 {
     Fixture fixture;
-    fixture.feed.answer(Fixture::rows(5, { { "a", "new" } }));
+    fixture.feed.respond(Fixture::rows(5, { { "a", "new" } }));
     fixture.follower->onUpdate({ "op", 2, Fixture::rows(4, { { "a", "old" } }) });
     cr_assert_eq(fixture.follower->table().rows.at("a"), "new");
 }
--- a/src/foxtailwheel/daemon/CallDriver.cpp
+++ b/src/foxtailwheel/daemon/CallDriver.cpp
@@ -12,9 +12,9 @@
 
     constexpr std::string_view leavingHeader = "X-Leaving";
 
-    CallFailure toCallFailure(http::TransportOutcome end)
+    CallFailure toCallFailure(http::TransportOutcome outcome)
     {
-        switch (end) {
+        switch (outcome) {
         case http::TransportOutcome::NotSent:
             return CallFailure::NotSent;
         case http::TransportOutcome::TimedOut:
@@ -61,17 +61,17 @@
     auto request = active->protocol->encode(call, call.call.deadline - m_clock.now());
     if (!call.idempotencyKey.empty())
         request.headers.push_back({ "Idempotency-Key", call.idempotencyKey });
-    http::CallCallbacks events;
-    events.onSendStart = [this, active] { m_dispatcher.onSent(active->id, m_clock.now()); };
-    events.onHead = [this, active](const http::Response& head) { onHead(active, head); };
+    http::CallCallbacks callbacks;
+    callbacks.onSendStart = [this, active] { m_dispatcher.onSent(active->id, m_clock.now()); };
+    callbacks.onHead = [this, active](const http::Response& head) { onHead(active, head); };
     if (active->decoder)
-        events.onData = [this, active](std::string_view chunk) { onData(active, chunk); };
-    events.onDone = [this, active](const http::CallResult& result) { onDone(active, result); };
+        callbacks.onData = [this, active](std::string_view chunk) { onData(active, chunk); };
+    callbacks.onDone = [this, active](const http::CallResult& result) { onDone(active, result); };
     http::CallRequest httpRequest { { call.server.host, call.server.port }, std::move(request), call.call.sendBy,
         call.call.responseDeadline, call.call.stage->idempotent };
     const std::lock_guard lock(m_mutex);
     m_activeCalls.emplace(active->id, active);
-    active->httpCall = m_client.start(std::move(httpRequest), std::move(events));
+    active->httpCall = m_client.start(std::move(httpRequest), std::move(callbacks));
 }
 
 void CallDriver::cancel(const serving::StopCall& stop)
--- a/src/foxtailwheel/daemon/CallerRequest.cpp
+++ b/src/foxtailwheel/daemon/CallerRequest.cpp
@@ -52,10 +52,10 @@
     {
         const auto deadline = http::findHeader(request.headers, "X-Deadline");
         if (!deadline.empty()) {
-            const auto timeLimit = config::parseDuration(deadline);
-            if (!timeLimit.has_value() || timeLimit.value() <= Duration {})
+            const auto timeout = config::parseDuration(deadline);
+            if (!timeout.has_value() || timeout.value() <= Duration {})
                 return RequestError { 400, "bad_deadline", "X-Deadline must be a duration such as 1500ms" };
-            out.timeout = timeLimit.value();
+            out.timeout = timeout.value();
         }
         const auto key = http::findHeader(request.headers, "Idempotency-Key");
         if (!key.empty() && !isValidIdempotencyKey(key))
--- a/src/foxtailwheel/daemon/Cluster.h
+++ b/src/foxtailwheel/daemon/Cluster.h
@@ -59,13 +59,13 @@
     void allocateRates(const std::vector<membership::Member>& activeMembers);
     config::Endpoint endpointOf(const InstanceId& id) const;
 
-    /// Calls `event` with the membership under the lock, then executes the resulting actions without it.
-    template <class Event> void withMembership(Event event)
+    /// Calls `operation` with the membership under the lock, then executes the resulting actions without it.
+    template <class Operation> void withMembership(Operation operation)
     {
         membership::MembershipActions actions;
         {
             const std::lock_guard lock(m_mutex);
-            event(m_membership, actions);
+            operation(m_membership, actions);
         }
         execute(actions);
     }
--- a/src/foxtailwheel/daemon/ForwardService.cpp
+++ b/src/foxtailwheel/daemon/ForwardService.cpp
@@ -50,7 +50,7 @@
 
     void executeAll(serving::ForwardActions actions);
     void execute(serving::SendUpstreamRequest& send);
-    void execute(serving::CancelUpstreamRequest& stop);
+    void execute(serving::CancelUpstreamRequest& cancel);
     void execute(serving::SendBatch& batch);
     void execute(serving::SendToInstance& message);
     void execute(serving::ReleaseResults& release);
@@ -65,7 +65,7 @@
     void flushReleases();
     void scheduleTimer();
     void onTimer();
-    void endSession(ForwardId id, serving::ForwardOutcome end);
+    void endSession(ForwardId id, serving::ForwardOutcome outcome);
 
     http::IoPool& pool;
     http::Client& client;
@@ -116,19 +116,20 @@
         send.deadline, send.idempotent };
     // A reused connection may be dead without notice, which would fail the request.
     request.newConnection = true;
-    http::CallCallbacks events;
-    events.onHead = [this, id](const http::Response& head) { onHead(id, head); };
+    http::CallCallbacks callbacks;
+    callbacks.onHead = [this, id](const http::Response& head) { onHead(id, head); };
     if (send.streams)
-        events.onData = [this, id](std::string_view bytes) { onData(id, bytes); };
-    events.onDone = [self = shared_from_this(), id](http::CallResult result) { self->onDone(id, std::move(result)); };
+        callbacks.onData = [this, id](std::string_view bytes) { onData(id, bytes); };
+    callbacks.onDone
+        = [self = shared_from_this(), id](http::CallResult result) { self->onDone(id, std::move(result)); };
     auto& call = calls[id];
     call.request = std::move(send);
-    call.httpCall = client.start(std::move(request), std::move(events));
+    call.httpCall = client.start(std::move(request), std::move(callbacks));
 }
 
-void ForwardService::Impl::execute(serving::CancelUpstreamRequest& stop)
+void ForwardService::Impl::execute(serving::CancelUpstreamRequest& cancel)
 {
-    const auto it = calls.find(stop.call);
+    const auto it = calls.find(cancel.call);
     if (it == calls.end())
         return;
     it->second.httpCall->cancel();
@@ -202,10 +203,10 @@
     http::CallRequest request { { batch.server.host, batch.server.port }, protocol.encodeBatch(batch),
         clock.now() + connectTimeout, batch.deadline, false };
     request.newConnection = true;
-    http::CallCallbacks events;
-    events.onDone = [self = shared_from_this(), batch, sentAt = clock.now()](
-                        const http::CallResult& result) { self->onBatchDone(batch, sentAt, result); };
-    client.start(std::move(request), std::move(events));
+    http::CallCallbacks callbacks;
+    callbacks.onDone = [self = shared_from_this(), batch, sentAt = clock.now()](
+                           const http::CallResult& result) { self->onBatchDone(batch, sentAt, result); };
+    client.start(std::move(request), std::move(callbacks));
 }
 
 void ForwardService::Impl::onBatchDone(
@@ -249,25 +250,25 @@
         const auto& server = it.first;
         const auto& handles = it.second;
         const auto now = clock.now();
-        http::CallCallbacks events;
+        http::CallCallbacks callbacks;
         // If a release is lost, the result only occupies capacity until it expires.
-        events.onDone = [server](const http::CallResult& result) {
+        callbacks.onDone = [server](const http::CallResult& result) {
             if (result.outcome != http::TransportOutcome::Complete || result.response.status != 200)
                 telemetry::logDebug("release_failed", { { "server", server.toString() }, { "detail", result.detail } });
         };
-        client.start(
-            { server, protocol.encodeRelease(handles), now + connectTimeout, now + releaseTimeout }, std::move(events));
+        client.start({ server, protocol.encodeRelease(handles), now + connectTimeout, now + releaseTimeout },
+            std::move(callbacks));
     }
 }
 
-void ForwardService::Impl::endSession(ForwardId id, serving::ForwardOutcome end)
+void ForwardService::Impl::endSession(ForwardId id, serving::ForwardOutcome outcome)
 {
     const auto it = sessions.find(id);
     if (it == sessions.end())
         return;
-    metrics.increment("foxtailwheel_forwarded_total", { { "end", std::string(toString(end)) } });
-    metrics.observeDuration(
-        "foxtailwheel_forward_seconds", { { "end", std::string(toString(end)) } }, clock.now() - it->second.startedAt);
+    metrics.increment("foxtailwheel_forwarded_total", { { "end", std::string(toString(outcome)) } });
+    metrics.observeDuration("foxtailwheel_forward_seconds", { { "end", std::string(toString(outcome)) } },
+        clock.now() - it->second.startedAt);
     sessions.erase(it);
 }
 
--- a/src/foxtailwheel/daemon/Instance.cpp
+++ b/src/foxtailwheel/daemon/Instance.cpp
@@ -208,8 +208,8 @@
                     m_dispatcher->onClaim(run, stage, result, m_clock->now(), followUp);
                     execute(std::move(followUp));
                 });
-        } else if (const auto* end = std::get_if<serving::CompleteClaim>(&action)) {
-            m_claimStore->recordOutcome(*end);
+        } else if (const auto* completion = std::get_if<serving::CompleteClaim>(&action)) {
+            m_claimStore->recordOutcome(*completion);
         } else if (const auto* tokens = std::get_if<pipeline::EmitTokens>(&action)) {
             m_callerApi.emit(*tokens);
         } else if (const auto* reply = std::get_if<serving::Reply>(&action)) {
--- a/src/foxtailwheel/daemon/LoadPoller.cpp
+++ b/src/foxtailwheel/daemon/LoadPoller.cpp
@@ -60,16 +60,16 @@
 
 void LoadPoller::pollLoad(const ServiceId& service, const config::BackendServer& server)
 {
-    const auto until = m_clock.now() + pollTimeout;
-    http::CallRequest call { { server.host, server.port }, { "GET", "/v1/load", {}, {} }, until, until, true };
-    http::CallCallbacks events;
-    events.onDone = [this, service, id = server.id](const http::CallResult& result) {
+    const auto deadline = m_clock.now() + pollTimeout;
+    http::CallRequest call { { server.host, server.port }, { "GET", "/v1/load", {}, {} }, deadline, deadline, true };
+    http::CallCallbacks callbacks;
+    callbacks.onDone = [this, service, id = server.id](const http::CallResult& result) {
         routing::LoadReport report;
         report.measuredAt = m_clock.now();
         if (result.outcome == http::TransportOutcome::Complete && parseLoadHeader(result.response.headers, report))
             m_dispatcher.onLoadReport(service, id, report);
     };
-    m_client.start(std::move(call), std::move(events));
+    m_client.start(std::move(call), std::move(callbacks));
 }
 
 void LoadPoller::pollCacheEvents(const ServiceId& service, const config::BackendServer& server)
@@ -79,11 +79,11 @@
         const std::lock_guard lock(m_mutex);
         after = m_lastEventSequence[server.id];
     }
-    const auto until = m_clock.now() + pollTimeout;
+    const auto deadline = m_clock.now() + pollTimeout;
     http::CallRequest call { { server.host, server.port },
-        { "GET", "/v1/cache-events?after=" + std::to_string(after), {}, {} }, until, until, true };
-    http::CallCallbacks events;
-    events.onDone = [this, service, id = server.id](const http::CallResult& result) {
+        { "GET", "/v1/cache-events?after=" + std::to_string(after), {}, {} }, deadline, deadline, true };
+    http::CallCallbacks callbacks;
+    callbacks.onDone = [this, service, id = server.id](const http::CallResult& result) {
         if (result.outcome != http::TransportOutcome::Complete || result.response.status != 200)
             return;
         const auto body = nlohmann::json::parse(result.response.body, nullptr, false);
@@ -95,7 +95,7 @@
             m_lastEventSequence[id] = std::max(m_lastEventSequence[id], event.sequence);
         }
     };
-    m_client.start(std::move(call), std::move(events));
+    m_client.start(std::move(call), std::move(callbacks));
 }
 
 } // namespace foxtailwheel::daemon
--- a/src/foxtailwheel/daemon/OrderService.cpp
+++ b/src/foxtailwheel/daemon/OrderService.cpp
@@ -116,11 +116,11 @@
     const config::BackendServer& server, FencingToken fencing)
 {
     const nlohmann::json body { { "model", service.model }, { "fencing", fencing.value() } };
-    const auto until = m_clock.now() + orderTimeout;
+    const auto deadline = m_clock.now() + orderTimeout;
     http::CallRequest call { { server.host, server.port },
-        { "POST", "/v1/orders", { { "Content-Type", "application/json" } }, body.dump() }, until, until, false };
-    http::CallCallbacks events;
-    events.onDone = [this, pool, id = server.id, model = service.model](const http::CallResult& result) {
+        { "POST", "/v1/orders", { { "Content-Type", "application/json" } }, body.dump() }, deadline, deadline, false };
+    http::CallCallbacks callbacks;
+    callbacks.onDone = [this, pool, id = server.id, model = service.model](const http::CallResult& result) {
         const bool accepted = result.outcome == http::TransportOutcome::Complete && result.response.status == 200;
         m_metrics.increment("foxtailwheel_orders_total", { { "result", accepted ? "taken" : "refused" } });
         const std::lock_guard lock(pool->mutex);
@@ -128,7 +128,7 @@
         if (accepted)
             pool->acceptedOrders[id] = { model, m_clock.now() };
     };
-    m_client.start(std::move(call), std::move(events));
+    m_client.start(std::move(call), std::move(callbacks));
 }
 
 } // namespace foxtailwheel::daemon
--- a/src/foxtailwheel/daemon/PeerLink.cpp
+++ b/src/foxtailwheel/daemon/PeerLink.cpp
@@ -36,11 +36,11 @@
 } // namespace
 
 struct PeerLink::Impl : std::enable_shared_from_this<PeerLink::Impl> {
-    Impl(http::IoPool& p, const Clock& c, membership::Member self, std::uint64_t seed, PeerLinkCallbacks e)
+    Impl(http::IoPool& p, const Clock& c, membership::Member self, std::uint64_t seed, PeerLinkCallbacks cb)
         : pool(p)
         , clock(c)
         , membership(std::move(self), {}, seed)
-        , callbacks(std::move(e))
+        , callbacks(std::move(cb))
     {
     }
 
@@ -191,10 +191,10 @@
     }
 }
 
-void PeerLink::sendToZone(const control::TableUpdate& news)
+void PeerLink::sendToZone(const control::TableUpdate& update)
 {
     const auto& self = m_impl->membership.self();
-    const peer::TableUpdate message { self, news.table, news.after, news.answer };
+    const peer::TableUpdate message { self, update.table, update.baseVersion, update.changes };
     for (const auto& it : m_impl->membership.members()) {
         const bool isLive = it.state == membership::MemberState::Alive || it.state == membership::MemberState::Suspect;
         if (isLive && it.zone == self.zone && it.id != self.id)
--- a/src/foxtailwheel/http/Client.cpp
+++ b/src/foxtailwheel/http/Client.cpp
@@ -106,12 +106,12 @@
         /// @param strand Executor of the call; the executor of `stream` if a connection is reused.
         /// @param stream Connection to reuse, or null to open a new one.
         PooledCall(net::any_io_executor strand, std::unique_ptr<Stream> stream,
-            std::shared_ptr<IdleConnectionPool> pool, const Clock& clock, CallRequest request, CallCallbacks events)
+            std::shared_ptr<IdleConnectionPool> pool, const Clock& clock, CallRequest request, CallCallbacks callbacks)
             : m_strand(std::move(strand))
             , m_idlePool(std::move(pool))
             , m_clock(clock)
             , m_request(std::move(request))
-            , m_events(std::move(events))
+            , m_callbacks(std::move(callbacks))
             , m_stream(std::move(stream))
             , m_reused(m_stream != nullptr)
         {
@@ -130,7 +130,10 @@
         void enableKeepAlive();
         net::awaitable<boost::system::error_code> readBody(
             bhttp::response_parser<bhttp::buffer_body>& parser, std::string& body);
-        CallResult makeResult(TransportOutcome end, std::string detail) const { return { end, {}, std::move(detail) }; }
+        CallResult makeResult(TransportOutcome outcome, std::string detail) const
+        {
+            return { outcome, {}, std::move(detail) };
+        }
         CallResult errorResult(const boost::system::error_code& ec) const;
         void setStreamDeadline(TimePoint at);
 
@@ -138,7 +141,7 @@
         std::shared_ptr<IdleConnectionPool> m_idlePool;
         const Clock& m_clock;
         CallRequest m_request;
-        CallCallbacks m_events;
+        CallCallbacks m_callbacks;
         std::unique_ptr<Stream> m_stream;
         beast::flat_buffer m_buffer;
         std::atomic<bool> m_cancelled { false };
@@ -214,8 +217,8 @@
         m_message.keep_alive(true);
         m_message.body() = request.body;
         m_message.prepare_payload();
-        if (!m_sendStarted && m_events.onSendStart)
-            m_events.onSendStart();
+        if (!m_sendStarted && m_callbacks.onSendStart)
+            m_callbacks.onSendStart();
         m_sendStarted = true;
         setStreamDeadline(m_request.deadline);
         if (request.body.size() > maxSequentialWriteBytes) {
@@ -241,14 +244,14 @@
         bhttp::response_parser<bhttp::buffer_body>& parser, std::string& body)
     {
         std::string chunk(readChunkBytes, '\0');
-        const bool streaming = m_events.onData && parser.get().result_int() == 200;
+        const bool streaming = m_callbacks.onData && parser.get().result_int() == 200;
         while (!parser.is_done()) {
             parser.get().body().data = chunk.data();
             parser.get().body().size = chunk.size();
             auto [ec, n] = co_await bhttp::async_read_some(*m_stream, m_buffer, parser, completionToken);
             const std::string_view received(chunk.data(), chunk.size() - parser.get().body().size);
             if (streaming && !received.empty())
-                m_events.onData(received);
+                m_callbacks.onData(received);
             else
                 body.append(received);
             if (ec && ec != bhttp::error::need_buffer)
@@ -269,8 +272,8 @@
         result.response.status = parser.get().result_int();
         for (const auto& it : parser.get())
             result.response.headers.push_back({ std::string(it.name_string()), std::string(it.value()) });
-        if (m_events.onHead)
-            m_events.onHead(result.response);
+        if (m_callbacks.onHead)
+            m_callbacks.onHead(result.response);
         const auto bodyError = co_await readBody(parser, result.response.body);
         if (bodyError)
             co_return errorResult(bodyError);
@@ -316,8 +319,8 @@
             m_idlePool->closeAll(m_request.server);
         if (m_stream)
             m_stream->close();
-        const auto events = std::move(m_events);
-        events.onDone(std::move(result));
+        const auto callbacks = std::move(m_callbacks);
+        callbacks.onDone(std::move(result));
     }
 
     class PooledClient final : public Client {
@@ -328,14 +331,14 @@
         {
         }
 
-        std::shared_ptr<Call> start(CallRequest request, CallCallbacks events) override
+        std::shared_ptr<Call> start(CallRequest request, CallCallbacks callbacks) override
         {
             const bool canReuse = request.idempotent && !request.newConnection;
             auto stream = canReuse ? m_idlePool->acquire(request.server, m_clock.now()) : nullptr;
             net::any_io_executor strand
                 = stream ? stream->get_executor() : net::any_io_executor(net::make_strand(m_context));
             auto call = std::make_shared<PooledCall>(
-                std::move(strand), std::move(stream), m_idlePool, m_clock, std::move(request), std::move(events));
+                std::move(strand), std::move(stream), m_idlePool, m_clock, std::move(request), std::move(callbacks));
             // Posted so that no callback runs inside `start`.
             net::post(call->executor(), [call] {
                 net::co_spawn(
--- a/src/foxtailwheel/http/HttpTest.cpp
+++ b/src/foxtailwheel/http/HttpTest.cpp
@@ -48,10 +48,10 @@
     {
         const auto deadline = clock->now() + timeout;
         std::promise<http::CallResult> done;
-        http::CallCallbacks events;
-        events.onDone = [&](http::CallResult result) { done.set_value(std::move(result)); };
+        http::CallCallbacks callbacks;
+        callbacks.onDone = [&](http::CallResult result) { done.set_value(std::move(result)); };
         client->start({ { "127.0.0.1", server->port() }, { "POST", "/", {}, body }, deadline, deadline, idempotent },
-            std::move(events));
+            std::move(callbacks));
         return done.get_future().get();
     }
 
@@ -145,10 +145,10 @@
     const auto deadline = it.clock->now() + 5s;
     std::promise<http::CallResult> done;
     bool sendStarted = false;
-    http::CallCallbacks events;
-    events.onSendStart = [&] { sendStarted = true; };
-    events.onDone = [&](http::CallResult result) { done.set_value(std::move(result)); };
-    it.client->start({ { "127.0.0.1", 1 }, { "POST", "/", {}, "x" }, deadline, deadline, false }, std::move(events));
+    http::CallCallbacks callbacks;
+    callbacks.onSendStart = [&] { sendStarted = true; };
+    callbacks.onDone = [&](http::CallResult result) { done.set_value(std::move(result)); };
+    it.client->start({ { "127.0.0.1", 1 }, { "POST", "/", {}, "x" }, deadline, deadline, false }, std::move(callbacks));
     cr_assert(done.get_future().get().outcome == http::TransportOutcome::NotSent);
     cr_assert(!sendStarted);
 }
@@ -238,12 +238,12 @@
     const auto clock = systemClock();
     const auto client = http::Client::create(*pool, *clock);
     std::promise<http::CallResult> done;
-    http::CallCallbacks events;
-    events.onDone = [&](http::CallResult result) { done.set_value(std::move(result)); };
+    http::CallCallbacks callbacks;
+    callbacks.onDone = [&](http::CallResult result) { done.set_value(std::move(result)); };
     const auto deadline = clock->now() + 5s;
     client->start({ { "127.0.0.1", acceptor.local_endpoint().port() },
                       { "POST", "/", {}, std::string(32U << 20U, 'x') }, deadline, deadline, true },
-        std::move(events));
+        std::move(callbacks));
     const auto result = done.get_future().get();
     serverThread.join();
     pool->stop();
--- a/src/foxtailwheel/peer/PeerTest.cpp
+++ b/src/foxtailwheel/peer/PeerTest.cpp
@@ -84,7 +84,7 @@
 Test(PeerMessage, truncatedOrMutatedBytesAreRejectedOrDecoded)
 {
     Random random(20261204);
-    std::size_t refused = 0;
+    std::size_t rejected = 0;
     for (int round = 0; round < 20000; ++round) {
         const auto messages = makeMessages();
         auto bytes = peer::encodeMessage(messages[random.below(messages.size())]);
@@ -92,9 +92,9 @@
             bytes.resize(random.below(bytes.size()));
         for (std::uint64_t i = random.below(6); i > 0 && !bytes.empty(); --i)
             bytes[random.below(bytes.size())] = static_cast<char>(random.below(256));
-        refused += peer::decodeMessage(bytesOf(bytes)).has_value() ? 0 : 1;
+        rejected += peer::decodeMessage(bytesOf(bytes)).has_value() ? 0 : 1;
     }
-    cr_assert_gt(refused, 5000U);
+    cr_assert_gt(rejected, 5000U);
 }
 
 Test(PeerMessage, oversizedBytesAreRejected)
--- a/src/foxtailwheel/store/InstanceListClient.cpp
+++ b/src/foxtailwheel/store/InstanceListClient.cpp
@@ -42,13 +42,13 @@
         void fetch(TimePoint deadline, std::function<void(InstanceListResult)> done) override
         {
             http::CallRequest call { m_server, { "GET", "/v1/instances", {}, {} }, deadline, deadline, true };
-            http::CallCallbacks events;
-            events.onDone = [done = std::move(done)](const http::CallResult& result) {
+            http::CallCallbacks callbacks;
+            callbacks.onDone = [done = std::move(done)](const http::CallResult& result) {
                 const bool succeeded
                     = result.outcome == http::TransportOutcome::Complete && result.response.status == 200;
                 done(succeeded ? parseInstanceList(result.response.body) : InstanceListResult());
             };
-            m_client.start(std::move(call), std::move(events));
+            m_client.start(std::move(call), std::move(callbacks));
         }
 
         void announce(const ListedInstance& self, TimePoint deadline) override
@@ -58,9 +58,9 @@
             http::CallRequest call { m_server,
                 { "PUT", "/v1/instances/" + http::percentEncode(self.id.value()), {}, body.dump() }, deadline, deadline,
                 true };
-            http::CallCallbacks events;
-            events.onDone = [](const http::CallResult&) {};
-            m_client.start(std::move(call), std::move(events));
+            http::CallCallbacks callbacks;
+            callbacks.onDone = [](const http::CallResult&) {};
+            m_client.start(std::move(call), std::move(callbacks));
         }
 
     private:
--- a/src/foxtailwheel/store/TableClient.cpp
+++ b/src/foxtailwheel/store/TableClient.cpp
@@ -100,14 +100,14 @@
         http::CallRequest call { m_server,
             { "POST", "/v1/transact", { { "Content-Type", "application/json" } }, toJson(transaction).dump() },
             deadline, deadline, false };
-        http::CallCallbacks events;
-        events.onDone = [this, done = std::move(done)](const http::CallResult& result) {
+        http::CallCallbacks callbacks;
+        callbacks.onDone = [this, done = std::move(done)](const http::CallResult& result) {
             const auto transactResult = classifyResponse(result);
             onCallEnded(transactResult.outcome == TransactOutcome::Applied
                 || transactResult.outcome == TransactOutcome::ConditionFailed);
             done(transactResult);
         };
-        m_client.start(std::move(call), std::move(events));
+        m_client.start(std::move(call), std::move(callbacks));
     }
 
     void HttpTable::get(std::string target, TimePoint deadline, std::function<void(ReadResult)> done)
@@ -117,15 +117,15 @@
             return;
         }
         http::CallRequest call { m_server, { "GET", std::move(target), {}, {} }, deadline, deadline, true };
-        http::CallCallbacks events;
-        events.onDone = [this, done = std::move(done)](const http::CallResult& result) {
+        http::CallCallbacks callbacks;
+        callbacks.onDone = [this, done = std::move(done)](const http::CallResult& result) {
             ReadResult readResult;
             const bool succeeded = result.outcome == http::TransportOutcome::Complete && result.response.status == 200;
             readResult.succeeded = succeeded && parseRows(result.response.body, readResult.rows);
             onCallEnded(readResult.succeeded);
             done(std::move(readResult));
         };
-        m_client.start(std::move(call), std::move(events));
+        m_client.start(std::move(call), std::move(callbacks));
     }
 
     void HttpTable::read(std::string key, TimePoint deadline, std::function<void(ReadResult)> done)
