--- a/include/foxtailwheel/control/ClaimStore.h
+++ b/include/foxtailwheel/control/ClaimStore.h
@@ -21,9 +21,9 @@
     virtual ~ClaimStore() = default;
 
     /// @brief Requests a claim; `done` is called once, shortly after the call's deadline at the latest.
-    virtual void claim(const serving::AcquireClaim& call, std::function<void(pipeline::ClaimResult)> done) = 0;
+    virtual void acquire(const serving::AcquireClaim& call, std::function<void(pipeline::ClaimResult)> done) = 0;
     /// @brief Records the outcome of a claimed call; retried for up to `recordRetryTimeout` on failure.
-    virtual void recordOutcome(const serving::CompleteClaim& completion) = 0;
+    virtual void complete(const serving::CompleteClaim& completion) = 0;
     /// @brief Number of records that are not yet written.
     virtual std::size_t pendingRecords() const = 0;
 
--- a/include/foxtailwheel/pipeline/Actions.h
+++ b/include/foxtailwheel/pipeline/Actions.h
@@ -18,7 +18,7 @@
     };
 
     Payload request;
-    std::vector<DependencyResult> dependencyResults; ///< In the order of `Stage::dependencies`.
+    std::vector<DependencyResult> dependencyResults; ///< In the order of `Stage::dependsOn`.
 };
 
 /// @brief Starts one call to a backend server of a service.
@@ -63,7 +63,7 @@
 };
 
 /// @brief Claims the right to make one non-idempotent call.
-struct InsertClaim {
+struct AcquireClaim {
     RunId run;
     StageIndex stage = 0;
     ServiceId service;
@@ -74,7 +74,7 @@
 enum class ClaimOutcome { Answered, NotStarted, Unknown };
 
 /// @brief Records the outcome of a claimed call.
-struct RecordClaim {
+struct CompleteClaim {
     RunId run;
     StageIndex stage = 0;
     ServiceId service;
@@ -96,7 +96,7 @@
 };
 
 /// @brief One operation that the driver has to carry out.
-using Action = std::variant<StartCall, CancelCall, SetTimer, InsertClaim, RecordClaim, EmitTokens, Finish>;
+using Action = std::variant<StartCall, CancelCall, SetTimer, AcquireClaim, CompleteClaim, EmitTokens, Finish>;
 using Actions = std::vector<Action>;
 
 /// @brief Result of a claim request.
@@ -109,7 +109,7 @@
     Unavailable, ///< The claim table did not respond in time.
 };
 
-/// @brief Response to `InsertClaim`.
+/// @brief Response to `AcquireClaim`.
 struct ClaimResult {
     ClaimState state = ClaimState::Unavailable;
     Payload answer; ///< Set if `state` is `Recorded`.
--- a/include/foxtailwheel/pipeline/Plan.h
+++ b/include/foxtailwheel/pipeline/Plan.h
@@ -15,7 +15,7 @@
     config::ServiceKind kind = config::ServiceKind::Plain;
     bool idempotent = true;
     Duration typicalTime {};
-    std::vector<StageIndex> dependencies; ///< Stages whose results are inputs of this one; all have a lower index.
+    std::vector<StageIndex> dependsOn; ///< Stages whose results are inputs of this one; all have a lower index.
 };
 
 /// @brief Returns the expected duration of one call of a stage.
--- a/include/foxtailwheel/pipeline/Run.h
+++ b/include/foxtailwheel/pipeline/Run.h
@@ -67,7 +67,7 @@
     void onAnswer(const AttemptId& id, Payload body, TimePoint now, Actions& out);
     /// @brief A call ended without a complete answer.
     void onFailure(const AttemptId& id, CallFailure failure, TimePoint now, Actions& out);
-    /// @brief The result of `InsertClaim` arrived.
+    /// @brief The result of `AcquireClaim` arrived.
     void onClaim(StageIndex stage, const ClaimResult& result, TimePoint now, Actions& out);
     /// @brief A timer has expired.
     void onTimer(const TimerId& id, TimePoint now, Actions& out);
--- a/include/foxtailwheel/serving/Forwarder.h
+++ b/include/foxtailwheel/serving/Forwarder.h
@@ -153,7 +153,7 @@
     Duration crossZoneDelay = std::chrono::milliseconds(5); ///< One-way network delay, as specified.
     double retryBudgetFraction = 0.2; ///< Retries per first call, over all instances; limit set by the operators.
     double retryBudgetReserve = 50; ///< Additional retries per window, over all instances; limit set by the operators.
-    Duration retryWindow = std::chrono::seconds(10);
+    Duration retryBudgetWindow = std::chrono::seconds(10);
     Duration credentialMaxAge = std::chrono::milliseconds(4500); ///< Maximum age of their last confirmation.
     bool batchAcrossInstances = true; ///< Disabled only to measure the effect of batches shared by instances.
     bool admissionControl = true; ///< Disabled only to measure the effect of early rejection.
--- a/src/foxtailwheel/control/ClaimStore.cpp
+++ b/src/foxtailwheel/control/ClaimStore.cpp
@@ -28,8 +28,8 @@
         {
         }
 
-        void claim(const serving::AcquireClaim& call, std::function<void(pipeline::ClaimResult)> done) override;
-        void recordOutcome(const serving::CompleteClaim& completion) override;
+        void acquire(const serving::AcquireClaim& call, std::function<void(pipeline::ClaimResult)> done) override;
+        void complete(const serving::CompleteClaim& completion) override;
         std::size_t pendingRecords() const override;
 
     private:
@@ -75,7 +75,7 @@
         return fromSeconds(toSeconds(retryDelay) * (0.5 + m_random.uniform()));
     }
 
-    void TableClaimStore::claim(const serving::AcquireClaim& call, std::function<void(pipeline::ClaimResult)> done)
+    void TableClaimStore::acquire(const serving::AcquireClaim& call, std::function<void(pipeline::ClaimResult)> done)
     {
         const auto now = m_clock.wallNow();
         const auto remaining = std::chrono::duration_cast<std::chrono::milliseconds>(call.deadline - m_clock.now());
@@ -140,7 +140,7 @@
         pending->done(machine.result());
     }
 
-    void TableClaimStore::recordOutcome(const serving::CompleteClaim& completion)
+    void TableClaimStore::complete(const serving::CompleteClaim& completion)
     {
         auto pending = std::make_shared<PendingRecord>();
         {
--- a/src/foxtailwheel/daemon/Instance.cpp
+++ b/src/foxtailwheel/daemon/Instance.cpp
@@ -202,14 +202,14 @@
                 execute(std::move(followUp));
             });
         } else if (const auto* claim = std::get_if<serving::AcquireClaim>(&action)) {
-            m_claimStore->claim(
+            m_claimStore->acquire(
                 *claim, [this, run = claim->run, stage = claim->stage](const pipeline::ClaimResult& result) {
                     serving::Actions followUp;
                     m_dispatcher->onClaim(run, stage, result, m_clock->now(), followUp);
                     execute(std::move(followUp));
                 });
         } else if (const auto* completion = std::get_if<serving::CompleteClaim>(&action)) {
-            m_claimStore->recordOutcome(*completion);
+            m_claimStore->complete(*completion);
         } else if (const auto* tokens = std::get_if<pipeline::EmitTokens>(&action)) {
             m_callerApi.emit(*tokens);
         } else if (const auto* reply = std::get_if<serving::Reply>(&action)) {
--- a/src/foxtailwheel/pipeline/Plan.cpp
+++ b/src/foxtailwheel/pipeline/Plan.cpp
@@ -15,7 +15,7 @@
     std::vector<Duration> longest(stages.size());
     for (StageIndex i = stages.size(); i-- > stage;) {
         longest[i] += expected(stages[i]);
-        for (const auto dependency : stages[i].dependencies)
+        for (const auto dependency : stages[i].dependsOn)
             longest[dependency] = std::max(longest[dependency], longest[i]);
     }
     return longest[stage];
@@ -25,7 +25,7 @@
 {
     std::vector<Duration> finish(stages.size());
     for (StageIndex i = 0; i < stages.size(); ++i) {
-        for (const auto dependency : stages[i].dependencies)
+        for (const auto dependency : stages[i].dependsOn)
             finish[i] = std::max(finish[i], finish[dependency]);
         finish[i] += expected(stages[i]);
     }
@@ -46,7 +46,7 @@
         const auto& service = *declarations.findService(name);
         Stage stage { name, service.kind, service.idempotent, service.typicalTime, {} };
         for (const auto& it : service.dependsOn)
-            stage.dependencies.push_back(indices.at(it));
+            stage.dependsOn.push_back(indices.at(it));
         indices.emplace(name, plan.stages.size());
         plan.stages.push_back(std::move(stage));
     }
--- a/src/foxtailwheel/pipeline/Run.cpp
+++ b/src/foxtailwheel/pipeline/Run.cpp
@@ -170,7 +170,7 @@
 StageInput Run::Impl::stageInput(StageIndex stage) const
 {
     StageInput input { request.body, {} };
-    for (const auto dependency : stageAt(stage).dependencies)
+    for (const auto dependency : stageAt(stage).dependsOn)
         input.dependencyResults.push_back({ stageAt(dependency).service, stages[dependency].result });
     return input;
 }
@@ -178,7 +178,7 @@
 void Run::Impl::startReadyStages(TimePoint now, Actions& out)
 {
     for (StageIndex i = 0; i < stages.size() && !finished; ++i) {
-        const auto& dependencies = stageAt(i).dependencies;
+        const auto& dependencies = stageAt(i).dependsOn;
         const bool ready = std::all_of(dependencies.begin(), dependencies.end(),
             [this](StageIndex it) { return stages[it].phase == Phase::Done; });
         if (ready && stages[i].phase == Phase::Waiting)
@@ -198,7 +198,7 @@
         return;
     }
     stages[stage].phase = Phase::Claiming;
-    out.push_back(InsertClaim { request.id, stage, stageAt(stage).service, callDeadlines(stage, now).sendBy });
+    out.push_back(AcquireClaim { request.id, stage, stageAt(stage).service, callDeadlines(stage, now).sendBy });
 }
 
 CallDeadlines Run::Impl::callDeadlines(StageIndex stage, TimePoint now) const
@@ -252,7 +252,7 @@
 {
     if (!std::exchange(stages[stage].claimed, false))
         return;
-    out.push_back(RecordClaim { request.id, stage, stageAt(stage).service, outcome, std::move(answer) });
+    out.push_back(CompleteClaim { request.id, stage, stageAt(stage).service, outcome, std::move(answer) });
 }
 
 void Run::Impl::complete(StageIndex stage, Payload result, TimePoint now, Actions& out)
--- a/src/foxtailwheel/pipeline/RunTest.cpp
+++ b/src/foxtailwheel/pipeline/RunTest.cpp
@@ -6,16 +6,16 @@
 
 using namespace foxtailwheel;
 using namespace std::chrono_literals;
+using pipeline::AcquireClaim;
 using pipeline::Actions;
 using pipeline::AttemptId;
 using pipeline::CallFailure;
 using pipeline::ClaimState;
+using pipeline::CompleteClaim;
 using pipeline::EmitTokens;
 using pipeline::Finish;
-using pipeline::InsertClaim;
 using pipeline::OutcomeKind;
 using pipeline::Reason;
-using pipeline::RecordClaim;
 using pipeline::SetTimer;
 using pipeline::StartCall;
 using pipeline::TimerKind;
@@ -175,7 +175,7 @@
 Test(Run, nonIdempotentCallIsNotSentWithoutAClaim)
 {
     Fixture it("book");
-    cr_assert_eq(it.countOf<InsertClaim>(), 1U);
+    cr_assert_eq(it.countOf<AcquireClaim>(), 1U);
     it.run.onClaim(0, { ClaimState::Unavailable, nullptr }, start, it.actions);
     cr_assert_eq(it.countOf<StartCall>(), 0U);
     cr_assert(it.last<Finish>()->outcome.kind == OutcomeKind::NotRun);
@@ -191,7 +191,7 @@
     it.run.onFailure(call, CallFailure::ConnectionLost, start, it.actions);
     cr_assert_eq(it.countOf<StartCall>(), 1U);
     cr_assert(it.last<Finish>()->outcome.kind == OutcomeKind::Unknown);
-    cr_assert(it.last<RecordClaim>()->outcome == pipeline::ClaimOutcome::Unknown);
+    cr_assert(it.last<CompleteClaim>()->outcome == pipeline::ClaimOutcome::Unknown);
 }
 
 Test(Run, refusedNonIdempotentCallEndsAsNotRun)
@@ -202,7 +202,7 @@
     it.run.onSent(it.call());
     it.run.onFailure(it.call(), CallFailure::Refused, start, it.actions);
     cr_assert(it.last<Finish>()->outcome.kind == OutcomeKind::NotRun);
-    cr_assert(it.last<RecordClaim>()->outcome == pipeline::ClaimOutcome::NotStarted);
+    cr_assert(it.last<CompleteClaim>()->outcome == pipeline::ClaimOutcome::NotStarted);
     cr_assert(it.run.closed());
 }
 
@@ -214,7 +214,7 @@
     cr_assert(it.last<Finish>()->outcome.kind == OutcomeKind::Unknown);
     cr_assert(!it.run.closed());
     it.run.onAnswer(it.call(), pipeline::makePayload("booked"), start + 2s, it.actions);
-    cr_assert(it.last<RecordClaim>()->outcome == pipeline::ClaimOutcome::Answered);
+    cr_assert(it.last<CompleteClaim>()->outcome == pipeline::ClaimOutcome::Answered);
     cr_assert_eq(it.countOf<Finish>(), 1U);
     cr_assert(it.run.closed());
 }
@@ -226,7 +226,7 @@
     cr_assert(it.last<Finish>()->outcome.kind == OutcomeKind::NotRun);
     it.grantClaim();
     cr_assert_eq(it.countOf<StartCall>(), 0U);
-    cr_assert(it.last<RecordClaim>()->outcome == pipeline::ClaimOutcome::NotStarted);
+    cr_assert(it.last<CompleteClaim>()->outcome == pipeline::ClaimOutcome::NotStarted);
     cr_assert(it.run.closed());
 }
 
--- a/src/foxtailwheel/serving/Dispatcher.cpp
+++ b/src/foxtailwheel/serving/Dispatcher.cpp
@@ -353,10 +353,10 @@
             cancelCall(entry, *cancel, now, out);
         else if (const auto* timer = std::get_if<pipeline::SetTimer>(&action))
             out.push_back(*timer);
-        else if (const auto* claim = std::get_if<pipeline::InsertClaim>(&action))
+        else if (const auto* claim = std::get_if<pipeline::AcquireClaim>(&action))
             out.push_back(AcquireClaim {
                 claim->run, claim->stage, claimKeyFor(claim->service), entry.bodyHash, claim->deadline });
-        else if (auto* record = std::get_if<pipeline::RecordClaim>(&action))
+        else if (auto* record = std::get_if<pipeline::CompleteClaim>(&action))
             out.push_back(CompleteClaim {
                 record->run, record->stage, claimKeyFor(record->service), record->outcome, std::move(record->answer) });
         else if (auto* emit = std::get_if<pipeline::EmitTokens>(&action))
--- a/src/foxtailwheel/serving/ServerDirectory.cpp
+++ b/src/foxtailwheel/serving/ServerDirectory.cpp
@@ -61,7 +61,7 @@
 {
     auto pool = routing::ServerPool::create(toService(service, {}), {}, m_options.pools);
     limits::SlidingWindowRetryBudget retryBudget(
-        m_options.retryBudgetFraction, m_options.retryBudgetReserve, m_options.retryWindow);
+        m_options.retryBudgetFraction, m_options.retryBudgetReserve, m_options.retryBudgetWindow);
     retryBudget.setInstanceCount(m_instanceCount);
     std::unique_ptr<BatchQueue> batchQueue;
     if (service.batch)
--- a/src/foxtailwheel/testing/FaultSimulation.cpp
+++ b/src/foxtailwheel/testing/FaultSimulation.cpp
@@ -277,7 +277,7 @@
                 handleActions(instance, std::move(followUp));
             });
         } else if (const auto* claim = std::get_if<serving::AcquireClaim>(&action)) {
-            fake.claims->claim(
+            fake.claims->acquire(
                 *claim, [this, instance, run = claim->run, stage = claim->stage](const pipeline::ClaimResult& result) {
                     if (!m_instances[instance]->alive)
                         return;
@@ -286,7 +286,7 @@
                     handleActions(instance, std::move(followUp));
                 });
         } else if (const auto* completion = std::get_if<serving::CompleteClaim>(&action)) {
-            fake.claims->recordOutcome(*completion);
+            fake.claims->complete(*completion);
         } else if (const auto* tokens = std::get_if<pipeline::EmitTokens>(&action)) {
             onTokens(*tokens);
         } else if (const auto* reply = std::get_if<serving::Reply>(&action)) {
